--- a/components/control/src/message.rs
+++ b/components/control/src/message.rs
@@ -5,9 +5,11 @@
 
 use catalog::{Catalog, Engine, Limit, ModelId};
 use fleet::{Endpoint, Holdings};
-use quarantine::{Digest, Evidence, Note};
+use quarantine::{Digest, Evidence, QuarantineRecord};
 use serde::{Deserialize, Serialize};
-use units::{EndpointId, Era, Life, ModelName, Revision, StorePosition, WorkspaceName};
+use units::{
+    EndpointId, EndpointIncarnation, Era, ModelName, Revision, StorePosition, WorkspaceName,
+};
 
 /// Where a router asks for news of an endpoint.
 pub const POLL_PATH: &str = "/poll";
@@ -36,7 +38,8 @@
     pub endpoint: EndpointId,
     /// The life of the endpoint in which it uses it, if it is known.
     #[serde(default)]
-    pub life: Option<Life>,
+    #[serde(rename = "life")]
+    pub incarnation: Option<EndpointIncarnation>,
     /// The era of the store that the router knows: a loader that does not call the store would not see it come back from a copy.
     #[serde(default)]
     pub era: Era,
@@ -58,7 +61,8 @@
     pub endpoint: Option<EndpointId>,
     /// The life of the endpoint that it is about, if the endpoint says which.
     #[serde(default)]
-    pub life: Option<Life>,
+    #[serde(rename = "life")]
+    pub incarnation: Option<EndpointIncarnation>,
     /// What the endpoint holds.
     pub holdings: Holdings,
     /// How busy it is.
@@ -278,7 +282,7 @@
     /// The key.
     pub key: String,
     /// The record.
-    pub note: Note,
+    pub note: QuarantineRecord,
 }
 
 /// A request that is refused because it crashes endpoints.
--- a/components/events/src/count.rs
+++ b/components/events/src/count.rs
@@ -129,12 +129,12 @@
 }
 
 /// Notes that a dependency was reached just now; its age is what `uptime_seconds` is beyond this.
-pub fn reached(dependency: Dependency) {
+pub fn record_reached(dependency: Dependency) {
     gauge!("dependency_reached_seconds", "dependency" => name(&dependency)).set(uptime());
 }
 
 /// Brings the gauges of the process itself up to date.
-pub fn gauge_process() {
+pub fn update_process_gauges() {
     gauge!("uptime_seconds").set(uptime());
     // The second number is the resident memory, in pages.
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -80,7 +80,7 @@
 /// Who got an order or what became of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Given {
+pub enum OrderOutcome {
     /// The endpoint carries it out.
     Accepted,
     /// What it asks for holds.
@@ -311,8 +311,9 @@
     Examined {
         /// The endpoint.
         endpoint: &'a str,
-        /// Its life, 0 if it does not tell.
-        life: u64,
+        /// Its incarnation; 0 if the endpoint does not report it.
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Whether it has ended, not by a planned stop: this may be held against what it ran.
         ended: bool,
         /// What showed that.
@@ -414,7 +415,7 @@
         /// Orders accepted before.
         sequence: u64,
         /// What became of it.
-        outcome: Given,
+        outcome: OrderOutcome,
     },
     /// A load is over.
     Loaded {
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -4,6 +4,6 @@
 mod event;
 mod sink;
 
-pub use count::{NO_ROOM, count_call, gauge_process, reached};
-pub use event::{Dependency, Event, Given, Refusal, Step, millis};
+pub use count::{NO_ROOM, count_call, record_reached, update_process_gauges};
+pub use event::{Dependency, Event, OrderOutcome, Refusal, Step, millis};
 pub use sink::{emit, install};
--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -5,7 +5,7 @@
 
 use catalog::ModelId;
 use serde::{Deserialize, Serialize};
-use units::{AdapterName, Domain, EndpointId, Life, ModelName, ServiceName};
+use units::{AdapterName, Domain, EndpointId, EndpointIncarnation, ModelName, ServiceName};
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,7 +80,8 @@
     pub id: EndpointId,
     /// Which of its lives this is about, if it says so; what was known of an earlier one does not hold for it.
     #[serde(default)]
-    pub life: Option<Life>,
+    #[serde(rename = "life")]
+    pub incarnation: Option<EndpointIncarnation>,
     /// The service that it belongs to.
     pub service: ServiceName,
     /// Where it listens.
--- a/components/loader/src/desk/tests.rs
+++ b/components/loader/src/desk/tests.rs
@@ -13,7 +13,7 @@
     State {
         version,
         endpoint: None,
-        life: None,
+        incarnation: None,
         holdings: Holdings { copies, ..Holdings::default() },
         load: Load { waiting: 2, running: 5, routers: 3 },
         room: Duration::ZERO,
@@ -27,7 +27,7 @@
     let poll = Poll {
         router: "front-1".to_owned(),
         endpoint: "i-1".parse().expect("an id"),
-        life: None,
+        incarnation: None,
         era: Era::default(),
         seen,
         wait: Duration::from_secs(1),
--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -29,7 +29,7 @@
     let (state, news) = watch::channel(State {
         version: 1,
         endpoint: None,
-        life: None,
+        incarnation: None,
         holdings: Holdings::default(),
         load: Load::default(),
         room: std::time::Duration::ZERO,
--- a/components/loader/src/steward.rs
+++ b/components/loader/src/steward.rs
@@ -12,7 +12,7 @@
 use platform::{Work, read_report};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
-use units::{EndpointId, Life, Revision, StorePosition};
+use units::{EndpointId, EndpointIncarnation, Revision, StorePosition};
 use web::Client;
 
 use crate::desk::Command;
@@ -71,7 +71,7 @@
     state: watch::Sender<State>,
     endpoint: Option<EndpointId>,
     /// The life of the endpoint that the last report was about.
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     /// Whether the endpoint has said in this life that it leaves; no later report takes that back, since one may be older than
     /// it is read.
     leaving: bool,
@@ -183,7 +183,7 @@
                 self.adopt(&poll.endpoint);
                 let heard = Heard { at: now, wait: poll.wait };
                 self.ledger.routers.insert(poll.router.clone(), heard);
-                if Life::differ(self.life, poll.life) {
+                if EndpointIncarnation::differ(self.life, poll.incarnation) {
                     // What it says is about requests that ended with the endpoint's life.
                     return;
                 }
@@ -259,7 +259,7 @@
                 }
                 self.lost = false;
                 self.reached = Some(Instant::now());
-                if Life::differ(self.life, report.life) {
+                if EndpointIncarnation::differ(self.life, report.life) {
                     self.restarted();
                 }
                 self.life = report.life.or(self.life);
--- a/components/loader/src/steward/orders.rs
+++ b/components/loader/src/steward/orders.rs
@@ -2,7 +2,7 @@
 
 use catalog::ModelId;
 use control::Verdict;
-use events::{Event, Given, emit, millis};
+use events::{Event, OrderOutcome, emit, millis};
 use fleet::Tier;
 use platform::{Fence, Order, Outcome, Work, call_order};
 use tokio::time::Instant;
@@ -30,13 +30,13 @@
             outcome
         });
         let given = match &outcome {
-            Ok(Outcome::Accepted) => Given::Accepted,
-            Ok(Outcome::Done) => Given::Done,
-            Ok(Outcome::Busy) => Given::Busy,
-            Ok(Outcome::Fenced) => Given::Fenced,
-            Ok(Outcome::Other(_)) => Given::Other,
-            Ok(Outcome::Refused(_)) => Given::Refused,
-            Err(_) => Given::Unknown,
+            Ok(Outcome::Accepted) => OrderOutcome::Accepted,
+            Ok(Outcome::Done) => OrderOutcome::Done,
+            Ok(Outcome::Busy) => OrderOutcome::Busy,
+            Ok(Outcome::Fenced) => OrderOutcome::Fenced,
+            Ok(Outcome::Other(_)) => OrderOutcome::Other,
+            Ok(Outcome::Refused(_)) => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unknown,
         };
         emit(&Event::Order {
             endpoint: endpoint.as_str(),
--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/steward/publish.rs
@@ -47,7 +47,7 @@
                 && state.room == room
                 && state.engine == self.engine
                 && state.endpoint == self.endpoint
-                && state.life == self.life;
+                && state.incarnation == self.life;
             state.load = Load { waiting, running, routers: self.ledger.heard() };
             if same {
                 return false;
@@ -59,7 +59,7 @@
             state.room = room;
             state.engine = self.engine;
             state.endpoint = self.endpoint.clone();
-            state.life = self.life;
+            state.incarnation = self.life;
             emit(&Event::Holds {
                 endpoint: state.endpoint.as_ref().map_or("", |id| id.as_str()),
                 models: state.holdings.models.len(),
--- a/components/placement/src/fixture.rs
+++ b/components/placement/src/fixture.rs
@@ -32,7 +32,7 @@
     pub(crate) fn new(count: usize) -> Self {
         let endpoint = |index: usize| Endpoint {
             id: format!("i-{index}").parse().expect("an id"),
-            life: None,
+            incarnation: None,
             service: "llm".parse().expect("a service"),
             addr: ([10, 0, 0, u8::try_from(index).expect("few")], 80).into(),
             domain: domain(),
--- a/components/process/src/metered.rs
+++ b/components/process/src/metered.rs
@@ -22,7 +22,7 @@
         let handler = move |request: Request<Incoming>, _| {
             let answer = match request.uri().path() {
                 "/metrics" => {
-                    events::gauge_process();
+                    events::update_process_gauges();
                     web::text(StatusCode::OK, metrics.render())
                 }
                 _ => web::text(StatusCode::NOT_FOUND, "try /metrics\n"),
--- a/components/quarantine/src/digest.rs
+++ b/components/quarantine/src/digest.rs
@@ -1,4 +1,4 @@
-//! What tells one request from another, whatever its id.
+//! Digests that identify a request by its content, whatever its id.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,30 +7,33 @@
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
 
-/// Bytes of a digest: two requests of a deployment never share one by chance.
-const LENGTH: usize = 16;
+/// The number of bytes in a digest: enough that two requests of a deployment never have the same digest by chance.
+const DIGEST_BYTES: usize = 16;
 
-/// Stands for all requests with the same caller, path and body.
+/// Identifies all requests with the same caller, path and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Digest([u8; LENGTH]);
+pub struct Digest([u8; DIGEST_BYTES]);
 
-/// Why a text is not a digest.
+/// The error for a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{0}` is no digest of a request; write the 32 hexadecimal digits of a `sent` line")]
+#[error(
+    "`{0}` is no digest of a request; write the 32 hexadecimal digits that the log shows in a `sent` step"
+)]
 pub struct ParseDigestError(String);
 
 impl Digest {
-    /// The digest of a request; a cryptographic hash, so that no caller can make another one's request look like its own.
+    /// The digest of a request with these parts. It is a cryptographic hash, so that no caller can craft a request with the digest
+    /// of another caller's request.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
-            // With their lengths, so that moving a boundary makes another request.
+            // The lengths are hashed as well, so that moving the boundary between two parts changes the digest.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
         let hash = hash.finalize();
-        let mut bytes = [0; LENGTH];
-        bytes.copy_from_slice(&hash[..LENGTH]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&hash[..DIGEST_BYTES]);
         Self(bytes)
     }
 }
@@ -45,7 +48,7 @@
     type Err = ParseDigestError;
 
     fn from_str(text: &str) -> Result<Self, ParseDigestError> {
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; DIGEST_BYTES];
         hex::decode_to_slice(text, &mut bytes).map_err(|_| ParseDigestError(text.to_owned()))?;
         Ok(Self(bytes))
     }
--- a/components/quarantine/src/digest/tests.rs
+++ b/components/quarantine/src/digest/tests.rs
@@ -7,12 +7,12 @@
 #[case(["a", "/x", "body"], ["a", "/y", "body"])]
 #[case(["a", "/x", "body"], ["a", "/x", "bodz"])]
 #[case(["a", "/x", "ody"], ["a", "/x", "body"])]
-fn requests_that_differ_have_other_digests(#[case] one: [&str; 3], #[case] other: [&str; 3]) {
+fn requests_that_differ_have_different_digests(#[case] one: [&str; 3], #[case] other: [&str; 3]) {
     assert_ne!(Digest::of(&one.map(str::as_bytes)), Digest::of(&other.map(str::as_bytes)));
 }
 
 #[test]
-fn a_digest_is_read_back_as_it_was_written() {
+fn a_digest_is_parsed_from_its_text() {
     let digest = Digest::of(&[b"a", b"/x", b"body"]);
     assert_eq!(digest.to_string().parse(), Ok(digest));
     assert!("abc".parse::<Digest>().is_err());
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which requests crash the endpoints that run them (poison requests), decided apart from input and output.
+//! Detects requests that crash the endpoints that run them (poison requests). The crate does no I/O.
 //!
-//! Load pattern: a request ends the process of each endpoint that begins to run it. Its caller sends it again and
-//! again, through any router, and each router sees a new request. Whoever ran beside it is cut off with it and looks just
-//! like it, once; only the one that was there each time is to blame.
+//! Such a request crashes each endpoint that starts to run it. Its caller sends it again and again, through any router, and
+//! each router sees a new request. The requests that ran on the same endpoint fail together with it and look just like it,
+//! but only once: only the request that was running at each of the crashes is to blame.
 
 mod digest;
-mod note;
+mod record;
 mod table;
 
 pub use digest::{Digest, ParseDigestError};
-pub use note::{Death, Note, Release, Stamp, Trial};
-pub use table::{Evidence, Standing, Table};
+pub use record::{Crash, QuarantineRecord, Release, Trial, UnixMillis};
+pub use table::{CrashTable, Evidence, SuspicionLevel};
--- /dev/null
+++ b/components/quarantine/src/record.rs
@@ -0,0 +1,109 @@
+//! Records that routers exchange about crashed endpoints and the requests suspected to crash them.
+
+use std::collections::BTreeSet;
+use std::fmt;
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+use units::{Domain, EndpointId, EndpointIncarnation};
+
+use crate::Digest;
+
+/// A time in Unix milliseconds by the clock of the router that writes it. The clocks of routers differ by little, and all
+/// limits that depend on them are minutes long.
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct UnixMillis(pub u64);
+
+impl UnixMillis {
+    /// The time since `earlier`; zero if `earlier` is later than this time.
+    #[must_use]
+    pub fn since(self, earlier: Self) -> Duration {
+        Duration::from_millis(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl fmt::Display for UnixMillis {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// An endpoint stopped while it ran requests, and not because of a planned shutdown.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Crash {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// The incarnation that crashed, if the endpoint reports its incarnation.
+    #[serde(default)]
+    #[serde(rename = "life")]
+    pub incarnation: Option<EndpointIncarnation>,
+    /// The failure domain of the endpoint.
+    pub domain: Domain,
+    /// The number of endpoints in this failure domain.
+    #[serde(rename = "among")]
+    pub domain_endpoints: u32,
+    /// When a router noticed the crash.
+    pub at: UnixMillis,
+    /// The requests that the router which noticed the crash had running on the endpoint.
+    #[serde(rename = "runs")]
+    pub requests: BTreeSet<Digest>,
+}
+
+/// Clears a request: it ran to completion, or an operator released it.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Release {
+    /// The request.
+    pub digest: Digest,
+    /// Crashes up to this time don't count against the request.
+    pub at: UnixMillis,
+}
+
+/// A suspect is sent to an endpoint once more, to see whether it still crashes endpoints.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Trial {
+    /// The request.
+    pub digest: Digest,
+    /// The number of this trial among the trials of the request, from 1.
+    pub number: u32,
+    /// When the request was sent.
+    pub at: UnixMillis,
+}
+
+/// One record. [`CrashTable`](crate::CrashTable) doesn't depend on the order of records, nor on how often one is applied.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum QuarantineRecord {
+    /// An endpoint crashed.
+    #[serde(rename = "death")]
+    Crash(Crash),
+    /// A request is cleared.
+    Release(Release),
+    /// A suspect is tried again.
+    Trial(Trial),
+}
+
+impl QuarantineRecord {
+    /// The key under which the store keeps this record of a router. A record replaces another one with the same key only if
+    /// it contains everything that the other one says.
+    pub fn key(&self, router: &str) -> String {
+        match self {
+            Self::Crash(Crash { endpoint, incarnation, .. }) => {
+                format!("end {endpoint} {} {router}", incarnation.unwrap_or_default())
+            }
+            Self::Release(Release { digest, .. }) => format!("release {digest}"),
+            Self::Trial(Trial { digest, number, .. }) => format!("trial {digest} {number}"),
+        }
+    }
+
+    /// When the recorded event happened.
+    pub fn at(&self) -> UnixMillis {
+        match self {
+            Self::Crash(Crash { at, .. })
+            | Self::Release(Release { at, .. })
+            | Self::Trial(Trial { at, .. }) => *at,
+        }
+    }
+}
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -1,109 +1,115 @@
-//! What is known of ended endpoints, and who is to blame.
+//! Collects crashes of endpoints and finds the requests that are to blame for them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use units::{Domain, EndpointId, Life};
+use units::{Domain, EndpointId, EndpointIncarnation};
 
-use crate::{Death, Digest, Note, Stamp};
+use crate::{Crash, Digest, QuarantineRecord, UnixMillis};
 
-/// So many ends that nobody else explains make a suspect. With two, a caller's request that is repeated once, both times
-/// beside the one to blame, would be refused.
-const ENDS: usize = 3;
-/// Ends within this time that take all endpoints of a failure domain are one event: they lost their power together. A request
-/// that ends one after the other takes longer for each.
-const MOMENT: Duration = Duration::from_millis(50);
-/// A domain of fewer endpoints than this is never held to be lost as a whole: a request can end one or two at once.
-const DOMAIN: u32 = 3;
-/// For each end of a suspect's, so many others may stay unexplained at the same time. Where endpoints end on whatever they
-/// run, as after a faulty release, no request is to blame.
-const OTHERS: usize = 2;
-/// Others that are always allowed.
-const FEW: usize = 2;
-/// The others are counted from so long before the first end of a suspect's.
-const BEFORE: Duration = Duration::from_secs(10);
-/// To so long after its last one.
-const AFTER: Duration = Duration::from_secs(3);
-/// What is older is forgotten.
-const KEPT: Duration = Duration::from_secs(24 * 3_600);
-/// Ends that are remembered at most; the oldest go first.
-const MOST: usize = 256;
-/// Requests of one end that are remembered at most.
-const RUNS: usize = 128;
-/// Releases and trials that are remembered at most.
-const MARKS: usize = 2_048;
-/// How long after its last end or trial a suspect is tried once more; after the last of these it is not.
-const TRIALS: [Duration; 3] =
+/// A request that was running at this many crashes, none of them explained by another request, is a suspect. With 2, a
+/// request that its caller repeats once would be refused if both attempts ran on the same endpoint as the one to blame.
+const SUSPECT_CRASHES: usize = 3;
+/// If all endpoints of a failure domain crash within this time, their crashes count as one: the domain lost its power. A
+/// request that crashes the endpoints one after the other takes longer for each.
+const DOMAIN_LOSS_WINDOW: Duration = Duration::from_millis(50);
+/// Crashes in a failure domain with fewer endpoints than this always count one by one, since a single request can crash one
+/// or two endpoints at the same time.
+const MIN_DOMAIN_ENDPOINTS: u32 = 3;
+/// For each crash of a suspect, this many unexplained crashes without the suspect are tolerated at about the same time. With
+/// more of them, endpoints crash whatever they run, as after a faulty release, and no request is to blame.
+const OTHERS_PER_CRASH: usize = 2;
+/// This many unexplained crashes without the suspect are tolerated in addition.
+const OTHERS_ALLOWANCE: usize = 2;
+/// Crashes without the suspect are counted from this long before the first crash of the suspect.
+const OTHERS_BEFORE: Duration = Duration::from_secs(10);
+/// Crashes without the suspect are counted until this long after the last crash of the suspect.
+const OTHERS_AFTER: Duration = Duration::from_secs(3);
+/// Records older than this are dropped.
+const RETENTION: Duration = Duration::from_secs(24 * 3_600);
+/// The most crashes that the table keeps; the oldest are dropped first.
+const MAX_CRASHES: usize = 256;
+/// The most requests that the table keeps for one crash.
+const MAX_CRASH_REQUESTS: usize = 128;
+/// The most requests for which the table keeps a release, and the most for which it keeps trials.
+const MAX_MARKED_REQUESTS: usize = 2_048;
+/// How long after its last crash or trial a suspect is tried again; after the last of these trials it isn't tried any more.
+const TRIAL_DELAYS: [Duration; 3] =
     [Duration::from_secs(600), Duration::from_secs(3_600), Duration::from_secs(4 * 3_600)];
 
-/// One life of an endpoint.
-type Lived = (EndpointId, Option<Life>);
+/// An endpoint and its incarnation, which together identify a crash.
+type CrashKey = (EndpointId, Option<EndpointIncarnation>);
 
-/// An end of an endpoint's life, as all routers together saw it.
+/// A crash of an endpoint, merged from the records of all routers that noticed it.
 #[derive(Debug, Clone)]
-struct End {
+struct MergedCrash {
     domain: Domain,
-    among: u32,
-    at: Stamp,
-    runs: BTreeSet<Digest>,
+    domain_endpoints: u32,
+    at: UnixMillis,
+    requests: BTreeSet<Digest>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Trials {
+struct TrialHistory {
     count: u32,
-    last: Stamp,
+    last: UnixMillis,
 }
 
-/// What a request is held to be.
+/// Whether a request is suspected to crash endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing speaks against it.
+pub enum SuspicionLevel {
+    /// The request was running at no crash.
     Clear,
-    /// It ran at so many endpoints when they ended.
+    /// The request was running at this many crashes, but isn't a suspect.
     Watched(usize),
-    /// It crashes what runs it.
+    /// The request crashes the endpoints that run it.
     Suspect,
 }
 
-/// One end that speaks against a request.
+/// A crash that counts against a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The endpoint.
+    /// The endpoint that crashed.
     pub endpoint: EndpointId,
-    /// The life that ended.
-    pub life: Option<Life>,
-    /// When.
-    pub at: Stamp,
+    /// The incarnation of the endpoint that crashed.
+    #[serde(rename = "life")]
+    pub incarnation: Option<EndpointIncarnation>,
+    /// The earliest time at which a router noticed the crash.
+    pub at: UnixMillis,
 }
 
-/// All that is known.
+/// All known crashes, releases and trials, and the suspects that follow from them.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
-    ends: BTreeMap<Lived, End>,
-    released: HashMap<Digest, Stamp>,
-    trials: HashMap<Digest, Trials>,
-    /// At how many ends each request was.
+pub struct CrashTable {
+    crashes: BTreeMap<CrashKey, MergedCrash>,
+    released: HashMap<Digest, UnixMillis>,
+    trials: HashMap<Digest, TrialHistory>,
+    /// At how many crashes each request was running.
     watched: HashMap<Digest, usize>,
     suspects: BTreeMap<Digest, Vec<Evidence>>,
 }
 
-impl Table {
-    /// Takes records; returns how many of them say something new.
-    pub fn take<'a>(&mut self, notes: impl IntoIterator<Item = &'a Note>, now: Stamp) -> usize {
-        let fresh = notes.into_iter().filter(|note| !Self::stale(note, now));
-        let new = fresh.filter(|note| self.take_one(note)).count();
+impl CrashTable {
+    /// Applies records, and returns how many of them added something new. Expired records are skipped.
+    pub fn apply<'a>(
+        &mut self,
+        records: impl IntoIterator<Item = &'a QuarantineRecord>,
+        now: UnixMillis,
+    ) -> usize {
+        let fresh = records.into_iter().filter(|record| !Self::is_expired(record, now));
+        let new = fresh.filter(|record| self.apply_record(record)).count();
         if new > 0 {
-            self.forget(now);
-            self.judge();
+            self.prune(now);
+            self.find_suspects();
         }
         new
     }
 
-    fn take_one(&mut self, note: &Note) -> bool {
-        match note {
-            Note::Death(death) => self.take_death(death),
-            Note::Release(release) => {
+    fn apply_record(&mut self, record: &QuarantineRecord) -> bool {
+        match record {
+            QuarantineRecord::Crash(crash) => self.apply_crash(crash),
+            QuarantineRecord::Release(release) => {
                 let before = self.released.get(&release.digest);
                 let new = before.is_none_or(|before| *before < release.at);
                 if new {
@@ -111,11 +117,11 @@
                 }
                 new
             }
-            Note::Trial(trial) => {
+            QuarantineRecord::Trial(trial) => {
                 let before = self.trials.get(&trial.digest);
                 let new = before.is_none_or(|before| before.count < trial.number);
                 if new {
-                    let trials = Trials { count: trial.number, last: trial.at };
+                    let trials = TrialHistory { count: trial.number, last: trial.at };
                     self.trials.insert(trial.digest, trials);
                 }
                 new
@@ -123,71 +129,81 @@
         }
     }
 
-    fn take_death(&mut self, death: &Death) -> bool {
-        let key = (death.endpoint.clone(), death.life);
-        let end = self.ends.entry(key).or_insert_with(|| End {
-            domain: death.domain.clone(),
-            among: death.among,
-            at: death.at,
-            runs: BTreeSet::new(),
+    fn apply_crash(&mut self, crash: &Crash) -> bool {
+        let key = (crash.endpoint.clone(), crash.incarnation);
+        let merged = self.crashes.entry(key).or_insert_with(|| MergedCrash {
+            domain: crash.domain.clone(),
+            domain_endpoints: crash.domain_endpoints,
+            at: crash.at,
+            requests: BTreeSet::new(),
         });
-        // Two routers that saw the same end saw one end.
-        let before = (end.runs.len(), end.at, end.among);
-        end.at = end.at.min(death.at);
-        end.among = end.among.max(death.among);
-        for digest in &death.runs {
-            if end.runs.len() < RUNS {
-                end.runs.insert(*digest);
+        // Records of several routers about the same incarnation are one crash.
+        let before = (merged.requests.len(), merged.at, merged.domain_endpoints);
+        merged.at = merged.at.min(crash.at);
+        merged.domain_endpoints = merged.domain_endpoints.max(crash.domain_endpoints);
+        for digest in &crash.requests {
+            if merged.requests.len() < MAX_CRASH_REQUESTS {
+                merged.requests.insert(*digest);
             }
         }
-        before != (end.runs.len(), end.at, end.among) || before.0 == 0
+        before != (merged.requests.len(), merged.at, merged.domain_endpoints) || before.0 == 0
     }
 
-    fn forget(&mut self, now: Stamp) {
-        self.ends.retain(|_, end| now.since(end.at) <= KEPT);
-        while self.ends.len() > MOST {
-            let oldest = self.ends.iter().min_by_key(|(_, end)| end.at).map(|(key, _)| key.clone());
+    /// Drops expired entries, and the oldest ones where there are too many.
+    fn prune(&mut self, now: UnixMillis) {
+        self.crashes.retain(|_, crash| now.since(crash.at) <= RETENTION);
+        while self.crashes.len() > MAX_CRASHES {
+            let oldest =
+                self.crashes.iter().min_by_key(|(_, crash)| crash.at).map(|(key, _)| key.clone());
             let Some(oldest) = oldest else { break };
-            self.ends.remove(&oldest);
+            self.crashes.remove(&oldest);
         }
-        self.released.retain(|_, at| now.since(*at) <= KEPT);
-        shrink(&mut self.released, |at| *at);
-        self.trials.retain(|_, trials| now.since(trials.last) <= KEPT);
-        shrink(&mut self.trials, |trials| trials.last);
+        self.released.retain(|_, at| now.since(*at) <= RETENTION);
+        drop_oldest(&mut self.released, |at| *at);
+        self.trials.retain(|_, trials| now.since(trials.last) <= RETENTION);
+        drop_oldest(&mut self.trials, |trials| trials.last);
     }
 
-    /// Finds out who is to blame for which end. Whoever was at most ends that nobody else explains comes first; its ends
-    /// then speak against nobody else. Of two that were always together neither is to blame yet.
-    fn judge(&mut self) {
+    /// Finds the suspects. The request that was running at most crashes which no other suspect explains comes first; its
+    /// crashes then count against no other request. Of two requests that always ran together neither is a suspect yet.
+    fn find_suspects(&mut self) {
         let events = self.events();
-        let mut runs: HashMap<Digest, BTreeSet<usize>> = HashMap::new();
+        let mut crashes: HashMap<Digest, BTreeSet<usize>> = HashMap::new();
         self.watched.clear();
-        for (end, event) in self.ends.values().zip(&events) {
-            for digest in end.runs.iter().filter(|digest| counts(&self.released, digest, end.at)) {
-                runs.entry(*digest).or_default().insert(*event);
+        for (crash, event) in self.crashes.values().zip(&events) {
+            for digest in
+                crash.requests.iter().filter(|digest| counts(&self.released, digest, crash.at))
+            {
+                crashes.entry(*digest).or_default().insert(*event);
                 *self.watched.entry(*digest).or_default() += 1;
             }
         }
-        runs.retain(|_, at| at.len() >= ENDS);
-        let blamed = self.blame(runs, &events);
-        self.suspects = blamed.into_iter().map(|digest| (digest, self.ends_of(&digest))).collect();
+        crashes.retain(|_, at| at.len() >= SUSPECT_CRASHES);
+        let suspects = self.select_suspects(crashes, &events);
+        self.suspects =
+            suspects.into_iter().map(|digest| (digest, self.evidence_for(&digest))).collect();
     }
 
-    fn blame(&self, mut open: HashMap<Digest, BTreeSet<usize>>, events: &[usize]) -> Vec<Digest> {
+    fn select_suspects(
+        &self,
+        mut open: HashMap<Digest, BTreeSet<usize>>,
+        events: &[usize],
+    ) -> Vec<Digest> {
         let mut explained: BTreeSet<usize> = BTreeSet::new();
-        let mut passed: BTreeSet<Digest> = BTreeSet::new();
-        let mut blamed = Vec::new();
+        let mut skipped: BTreeSet<Digest> = BTreeSet::new();
+        let mut suspects = Vec::new();
         loop {
             let found = open
                 .iter()
-                .filter(|(digest, at)| at.len() >= ENDS && !passed.contains(digest))
+                .filter(|(digest, at)| at.len() >= SUSPECT_CRASHES && !skipped.contains(digest))
                 .max_by_key(|(digest, at)| (at.len(), **digest));
             let Some((digest, at)) = found.map(|(digest, at)| (*digest, at.clone())) else {
-                return blamed;
+                return suspects;
             };
-            let alike = open.iter().any(|(other, ends)| *other != digest && at.is_subset(ends));
-            if alike || self.crowded(&at, events, &explained) {
-                passed.insert(digest);
+            let ambiguous =
+                open.iter().any(|(other, crashes)| *other != digest && at.is_subset(crashes));
+            if ambiguous || self.too_many_others(&at, events, &explained) {
+                skipped.insert(digest);
                 continue;
             }
             open.remove(&digest);
@@ -195,97 +211,106 @@
                 others.retain(|event| !at.contains(event));
             }
             explained.extend(at);
-            blamed.push(digest);
-            passed.clear();
+            suspects.push(digest);
+            skipped.clear();
         }
     }
 
-    /// Which event each end belongs to: those that take a whole failure domain at once are one.
+    /// The number of the event that each crash belongs to. Crashes that hit a whole failure domain at once are one event.
     fn events(&self) -> Vec<usize> {
-        let event = |(number, end): (usize, &End)| {
-            if end.among < DOMAIN {
+        let event = |(number, crash): (usize, &MergedCrash)| {
+            if crash.domain_endpoints < MIN_DOMAIN_ENDPOINTS {
                 return number;
             }
-            let together = |other: &End| {
-                let apart = end.at.0.abs_diff(other.at.0);
-                Duration::from_millis(apart) <= MOMENT && other.domain == end.domain
+            let together = |other: &MergedCrash| {
+                let apart = crash.at.0.abs_diff(other.at.0);
+                Duration::from_millis(apart) <= DOMAIN_LOSS_WINDOW && other.domain == crash.domain
             };
-            let lost = self.ends.values().filter(|other| together(other)).count();
-            let whole = lost >= end.among as usize;
-            self.ends.values().position(together).filter(|_| whole).unwrap_or(number)
+            let crashed = self.crashes.values().filter(|other| together(other)).count();
+            let whole = crashed >= crash.domain_endpoints as usize;
+            self.crashes.values().position(together).filter(|_| whole).unwrap_or(number)
         };
-        self.ends.values().enumerate().map(event).collect()
+        self.crashes.values().enumerate().map(event).collect()
     }
 
-    /// Whether so many other endpoints ended meanwhile, for reasons unknown, that no request is to blame.
-    fn crowded(&self, at: &BTreeSet<usize>, events: &[usize], explained: &BTreeSet<usize>) -> bool {
-        let ends = || self.ends.values().zip(events);
-        let its = || ends().filter(|(_, event)| at.contains(event)).map(|(end, _)| end.at);
-        let Some((first, last)) = its().min().zip(its().max()) else { return true };
-        let others: BTreeSet<usize> = ends()
-            .filter(|(end, _)| first.since(end.at) <= BEFORE && end.at.since(last) <= AFTER)
+    /// Whether so many other endpoints crashed at about the same time, for unknown reasons, that no request is to blame.
+    fn too_many_others(
+        &self,
+        at: &BTreeSet<usize>,
+        events: &[usize],
+        explained: &BTreeSet<usize>,
+    ) -> bool {
+        let crashes = || self.crashes.values().zip(events);
+        let own = || crashes().filter(|(_, event)| at.contains(event)).map(|(crash, _)| crash.at);
+        let Some((first, last)) = own().min().zip(own().max()) else { return true };
+        let others: BTreeSet<usize> = crashes()
+            .filter(|(crash, _)| {
+                first.since(crash.at) <= OTHERS_BEFORE && crash.at.since(last) <= OTHERS_AFTER
+            })
             .map(|(_, event)| *event)
             .filter(|event| !at.contains(event) && !explained.contains(event))
             .collect();
-        others.len() > at.len() * OTHERS + FEW
+        others.len() > at.len() * OTHERS_PER_CRASH + OTHERS_ALLOWANCE
     }
 
-    fn ends_of(&self, digest: &Digest) -> Vec<Evidence> {
-        let ends = self
-            .ends
-            .iter()
-            .filter(|(_, end)| end.runs.contains(digest) && counts(&self.released, digest, end.at));
-        ends.map(|((endpoint, life), end)| Evidence {
-            endpoint: endpoint.clone(),
-            life: *life,
-            at: end.at,
-        })
-        .collect()
+    fn evidence_for(&self, digest: &Digest) -> Vec<Evidence> {
+        let crashes = self.crashes.iter().filter(|(_, crash)| {
+            crash.requests.contains(digest) && counts(&self.released, digest, crash.at)
+        });
+        crashes
+            .map(|((endpoint, incarnation), crash)| Evidence {
+                endpoint: endpoint.clone(),
+                incarnation: *incarnation,
+                at: crash.at,
+            })
+            .collect()
     }
 
-    /// What a request is held to be.
-    pub fn standing(&self, digest: &Digest) -> Standing {
+    /// Whether a request is suspected to crash endpoints.
+    pub fn suspicion(&self, digest: &Digest) -> SuspicionLevel {
         if self.suspects.contains_key(digest) {
-            return Standing::Suspect;
+            return SuspicionLevel::Suspect;
         }
-        self.watched.get(digest).map_or(Standing::Clear, |count| Standing::Watched(*count))
+        self.watched
+            .get(digest)
+            .map_or(SuspicionLevel::Clear, |count| SuspicionLevel::Watched(*count))
     }
 
-    /// Which trial of a suspect is due, if one is.
-    pub fn trial(&self, digest: &Digest, now: Stamp) -> Option<u32> {
-        let ends = self.suspects.get(digest)?;
+    /// The number of the trial of a suspect that is due, if there is one.
+    pub fn due_trial(&self, digest: &Digest, now: UnixMillis) -> Option<u32> {
+        let crashes = self.suspects.get(digest)?;
         let trials = self.trials.get(digest);
         let count = trials.map_or(0, |trials| trials.count);
-        let last = ends.iter().map(|end| end.at).max().unwrap_or(now);
+        let last = crashes.iter().map(|crash| crash.at).max().unwrap_or(now);
         let last = trials.map_or(last, |trials| trials.last.max(last));
-        let pause = TRIALS.get(count as usize)?;
-        (now.since(last) >= *pause).then_some(count + 1)
+        let delay = TRIAL_DELAYS.get(count as usize)?;
+        (now.since(last) >= *delay).then_some(count + 1)
     }
 
-    /// What speaks against a suspect.
+    /// The crashes that count against a suspect; empty for other requests.
     pub fn evidence(&self, digest: &Digest) -> &[Evidence] {
         self.suspects.get(digest).map_or(&[], Vec::as_slice)
     }
 
-    /// All suspects, with what speaks against each.
+    /// All suspects, with the crashes that count against each.
     pub fn suspects(&self) -> impl Iterator<Item = (&Digest, &[Evidence])> {
-        self.suspects.iter().map(|(digest, ends)| (digest, ends.as_slice()))
+        self.suspects.iter().map(|(digest, crashes)| (digest, crashes.as_slice()))
     }
 
-    /// Whether a record of this age is of no use any more.
-    pub fn stale(note: &Note, now: Stamp) -> bool {
-        now.since(note.at()) > KEPT
+    /// Whether a record is so old that the table doesn't use it any more.
+    pub fn is_expired(record: &QuarantineRecord, now: UnixMillis) -> bool {
+        now.since(record.at()) > RETENTION
     }
 }
 
-/// Whether an end still speaks against a request.
-fn counts(released: &HashMap<Digest, Stamp>, digest: &Digest, at: Stamp) -> bool {
-    released.get(digest).is_none_or(|released| at > *released)
+/// Whether a crash at this time counts against a request, which it doesn't if the request was released at or after that time.
+fn counts(released: &HashMap<Digest, UnixMillis>, digest: &Digest, crashed_at: UnixMillis) -> bool {
+    released.get(digest).is_none_or(|released| crashed_at > *released)
 }
 
-/// Drops the oldest of too many.
-fn shrink<T>(marks: &mut HashMap<Digest, T>, at: impl Fn(&T) -> Stamp) {
-    while marks.len() > MARKS {
+/// Drops the oldest entries beyond [`MAX_MARKED_REQUESTS`].
+fn drop_oldest<T>(marks: &mut HashMap<Digest, T>, at: impl Fn(&T) -> UnixMillis) {
+    while marks.len() > MAX_MARKED_REQUESTS {
         let oldest = marks.iter().min_by_key(|(_, mark)| at(mark)).map(|(digest, _)| *digest);
         let Some(oldest) = oldest else { break };
         marks.remove(&oldest);
--- a/components/router/src/ended.rs
+++ b/components/router/src/ended.rs
@@ -12,10 +12,10 @@
 
 use events::{Event, emit, millis};
 use platform::Health;
-use quarantine::{Death, Digest, Note};
+use quarantine::{Crash, Digest, QuarantineRecord};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use units::{EndpointId, Life};
+use units::{EndpointId, EndpointIncarnation};
 
 use crate::guard::stamp;
 use crate::pool::Pool;
@@ -60,7 +60,12 @@
 }
 
 /// Finds it out, unless that is going on.
-pub(crate) fn examine(shared: &Arc<Shared>, id: &EndpointId, life: Option<Life>, pool: &Arc<Pool>) {
+pub(crate) fn examine(
+    shared: &Arc<Shared>,
+    id: &EndpointId,
+    life: Option<EndpointIncarnation>,
+    pool: &Arc<Pool>,
+) {
     if !pool.runs().examine() {
         return;
     }
@@ -68,7 +73,12 @@
     tokio::spawn(follow(shared.clone(), id.clone(), life, pool.clone()));
 }
 
-async fn follow(shared: Arc<Shared>, id: EndpointId, life: Option<Life>, pool: Arc<Pool>) {
+async fn follow(
+    shared: Arc<Shared>,
+    id: EndpointId,
+    life: Option<EndpointIncarnation>,
+    pool: Arc<Pool>,
+) {
     let since = Instant::now();
     let (domain, among) = {
         let peers = shared.known.lock();
@@ -89,19 +99,19 @@
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
-        life: life.unwrap_or_default().0,
+        incarnation: life.unwrap_or_default().0,
         ended,
         cause,
         requests: runs.len(),
         after_ms: millis(since.elapsed()),
     });
-    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Death {
+    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Crash {
         endpoint: id,
-        life,
+        incarnation: life,
         domain,
-        among,
+        domain_endpoints: among,
         at,
-        runs,
+        requests: runs,
     });
     if ended {
         return shared.guard.examined(&pool, death);
@@ -115,12 +125,12 @@
 
 /// Waits for the list to tell that an endpoint which answers has started again under its id: one without models does not say in which
 /// life it is. What it had is sent on meanwhile.
-async fn watch(shared: &Arc<Shared>, death: Death, pool: &Arc<Pool>, until: Instant) {
+async fn watch(shared: &Arc<Shared>, death: Crash, pool: &Arc<Pool>, until: Instant) {
     while Instant::now() < until {
         tokio::time::sleep(LONGEST).await;
         match known(shared, &death.endpoint, pool) {
             None => {}
-            Some(Found::Ended(_)) => return shared.guard.tell(Note::Death(death)),
+            Some(Found::Ended(_)) => return shared.guard.tell(QuarantineRecord::Crash(death)),
             Some(Found::Spared(_)) => return,
         }
     }
@@ -129,7 +139,7 @@
 async fn find(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: &Arc<Pool>,
     until: Instant,
 ) -> Found {
@@ -176,7 +186,12 @@
 }
 
 /// Asks at its address.
-async fn ask(shared: &Shared, id: &EndpointId, life: Option<Life>, addr: SocketAddr) -> Answer {
+async fn ask(
+    shared: &Shared,
+    id: &EndpointId,
+    life: Option<EndpointIncarnation>,
+    addr: SocketAddr,
+) -> Answer {
     match tokio::time::timeout(PATIENCE, TcpStream::connect(addr)).await {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Answer::Refused,
         Ok(Err(_)) | Err(_) => return Answer::None,
@@ -186,7 +201,7 @@
         shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
     if askable {
         return match platform::read_report(&shared.client, addr, PATIENCE).await {
-            Ok(report) if Life::differ(report.life, life) => Answer::Other,
+            Ok(report) if EndpointIncarnation::differ(report.life, life) => Answer::Other,
             Ok(_) => Answer::Same,
             Err(error) => {
                 log::debug!("router: {id} did not tell whether it is there: {error}");
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -8,10 +8,10 @@
 use control::{Load, State};
 use fleet::{Endpoint, Holdings, Stage};
 use placement::{Ahead, Candidate, Trouble};
-use quarantine::Stamp;
+use quarantine::UnixMillis;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use units::{Life, ModelName, StorePosition};
+use units::{EndpointIncarnation, ModelName, StorePosition};
 
 use crate::pool::Pool;
 use crate::signs::Trust;
@@ -44,7 +44,7 @@
     /// It wants nothing from this router until then.
     pub(crate) until: Option<Instant>,
     /// When it said so last, by this router's time of day.
-    pub(crate) heard: Stamp,
+    pub(crate) heard: UnixMillis,
 }
 
 impl Said {
@@ -59,8 +59,8 @@
 
     /// Whether it was said in a life that is known to be another one than the one to which it was put down. Answers don't tell
     /// which life gives them, and an endpoint that has just started again speaks before the list tells of its life.
-    pub(crate) fn in_life(self, life: Option<Life>) -> bool {
-        life.is_some_and(|Life(born)| self.heard.0 > born)
+    pub(crate) fn in_life(self, life: Option<EndpointIncarnation>) -> bool {
+        life.is_some_and(|EndpointIncarnation(born)| self.heard.0 > born)
     }
 }
 
@@ -85,7 +85,7 @@
     /// It, in the newest of its lives that the list or its loader tells of.
     pub(crate) endpoint: Endpoint,
     /// The life that the list last told of.
-    listed: Option<Life>,
+    listed: Option<EndpointIncarnation>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) seen: Instant,
     /// How far the list had been read when it last told of it.
@@ -116,7 +116,7 @@
 impl Peer {
     pub(crate) fn new(endpoint: Endpoint, now: Instant) -> Self {
         let pool = Arc::new(Pool::new(endpoint.addr));
-        let listed = endpoint.life;
+        let listed = endpoint.incarnation;
         Self {
             endpoint,
             listed,
@@ -143,40 +143,40 @@
     /// Takes what the list says; true if that is about another life, of which nothing was known.
     pub(crate) fn list(&mut self, endpoint: Endpoint, now: Instant) -> bool {
         self.missing = None;
-        let repeated = endpoint.life == self.listed;
-        let other = !self.lives(endpoint.life);
+        let repeated = endpoint.incarnation == self.listed;
+        let other = !self.lives(endpoint.incarnation);
         if other && repeated {
             // Its loader has told of a later life already.
             return false;
         }
-        self.listed = endpoint.life;
+        self.listed = endpoint.incarnation;
         self.seen = now;
         if other || endpoint.addr != self.endpoint.addr {
             // One that has only moved is as much about to leave as before.
-            let said = if other { self.said_in(endpoint.life) } else { self.said };
+            let said = if other { self.said_in(endpoint.incarnation) } else { self.said };
             self.restart(endpoint, now);
             self.said = said;
             return true;
         }
-        let life = endpoint.life.or(self.endpoint.life);
-        self.endpoint = Endpoint { life, ..endpoint };
+        let life = endpoint.incarnation.or(self.endpoint.incarnation);
+        self.endpoint = Endpoint { incarnation: life, ..endpoint };
         false
     }
 
     /// Takes what its loader says; true if that is about a life of which nothing was known.
     pub(crate) fn hear(&mut self, state: State, now: Instant) -> bool {
-        let other = !self.lives(state.life);
-        if other && state.life < self.endpoint.life {
+        let other = !self.lives(state.incarnation);
+        if other && state.incarnation < self.endpoint.incarnation {
             // The loader has not asked its endpoint since it started again.
             return false;
         }
-        let life = state.life.or(self.endpoint.life);
+        let life = state.incarnation.or(self.endpoint.incarnation);
         if other {
             let (said, holdings) = (self.said_in(life), Some(state.holdings.clone()));
-            self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
+            self.restart(Endpoint { incarnation: life, holdings, ..self.endpoint.clone() }, now);
             self.said = said;
         }
-        self.endpoint.life = life;
+        self.endpoint.incarnation = life;
         self.said.leaving |= state.draining;
         self.state = Some((state, now));
         self.told = self.running;
@@ -193,13 +193,13 @@
     }
 
     /// What it has said in a life that begins to be known.
-    fn said_in(&self, life: Option<Life>) -> Said {
+    fn said_in(&self, life: Option<EndpointIncarnation>) -> Said {
         if self.said.in_life(life) { self.said } else { Said::default() }
     }
 
     /// Whether it is in this life, as far as anybody says.
-    pub(crate) fn lives(&self, life: Option<Life>) -> bool {
-        !Life::differ(life, self.endpoint.life)
+    pub(crate) fn lives(&self, life: Option<EndpointIncarnation>) -> bool {
+        !EndpointIncarnation::differ(life, self.endpoint.incarnation)
     }
 
     /// Drops what was known of an earlier life: what it held and ran, connections, pauses, questions.
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -8,7 +8,7 @@
 fn entry(life: u64) -> Endpoint {
     Endpoint {
         id: "i-1".parse().expect("an id"),
-        life: Some(Life(life)),
+        incarnation: Some(EndpointIncarnation(life)),
         service: "llm".parse().expect("a service"),
         addr: ([10, 0, 0, 1], 80).into(),
         domain: "near".parse().expect("a domain"),
@@ -27,7 +27,7 @@
     State {
         version: 1,
         endpoint: None,
-        life: Some(Life(life)),
+        incarnation: Some(EndpointIncarnation(life)),
         holdings: holding(models),
         load: Load { waiting: 0, running: 7, routers: 2 },
         room: Duration::ZERO,
@@ -75,7 +75,7 @@
     assert!(peer.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
     // The list still shows the earlier life, and then the new one.
     assert!(!peer.list(entry(100), now));
-    assert_eq!(peer.endpoint.life, Some(Life(200)));
+    assert_eq!(peer.endpoint.incarnation, Some(EndpointIncarnation(200)));
     assert!(!peer.list(entry(200), now));
     assert!(peer.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
 }
@@ -105,9 +105,9 @@
 async fn an_endpoint_that_does_not_tell_its_lives_apart_is_one() {
     let now = Instant::now();
     let mut peer = troubled(now);
-    assert!(!peer.list(Endpoint { life: None, ..entry(0) }, now));
-    assert!(!peer.hear(State { life: None, ..state(0, &["a"]) }, now));
-    assert_eq!((peer.endpoint.life, peer.running), (Some(Life(100)), 5));
+    assert!(!peer.list(Endpoint { incarnation: None, ..entry(0) }, now));
+    assert!(!peer.hear(State { incarnation: None, ..state(0, &["a"]) }, now));
+    assert_eq!((peer.endpoint.incarnation, peer.running), (Some(EndpointIncarnation(100)), 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -147,7 +147,7 @@
     let until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
         let mut peer = troubled(now);
-        peer.said = Said { leaving: true, until, heard: Stamp(300) };
+        peer.said = Said { leaving: true, until, heard: UnixMillis(300) };
         if by_loader {
             peer.hear(state(200, &[]), now);
         } else {
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -55,7 +55,7 @@
     }
 
     fn reached(&mut self) {
-        events::reached(self.dependency);
+        events::record_reached(self.dependency);
         self.pause = RETRY;
         let Some(since) = self.away.take() else { return };
         self.returned = Some(Instant::now());
--- a/components/router/src/flight.rs
+++ b/components/router/src/flight.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use platform::{Call, Reply, Sending};
 use tokio::time::Instant;
-use units::{EndpointId, Life, ServiceName};
+use units::{EndpointId, EndpointIncarnation, ServiceName};
 
 use crate::access::{self, Identity};
 use crate::caller::Caller;
@@ -56,7 +56,7 @@
     pub(crate) start: Instant,
     pub(crate) tried: Vec<EndpointId>,
     /// The life of the endpoint that it was last sent to.
-    pub(crate) life: Option<Life>,
+    pub(crate) life: Option<EndpointIncarnation>,
     /// How often it was sent.
     pub(crate) sends: u32,
     /// How often it may have run.
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -11,7 +11,9 @@
 
 use control::{Kept, Suspect};
 use events::{Event, emit};
-use quarantine::{Death, Digest, Evidence, Note, Release, Stamp, Standing, Table};
+use quarantine::{
+    Crash, CrashTable, Digest, Evidence, QuarantineRecord, Release, SuspicionLevel, UnixMillis,
+};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
@@ -29,14 +31,14 @@
     clippy::disallowed_methods,
     reason = "records outlive their writers, and what depends on their time bears jumps of seconds"
 )]
-pub(crate) fn stamp() -> Stamp {
+pub(crate) fn stamp() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Stamp(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    UnixMillis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
 #[derive(Debug, Default)]
 struct State {
-    table: Table,
+    table: CrashTable,
     /// Requests that were at an end of an endpoint and are on their way now.
     turns: HashSet<Digest>,
     /// Lives of endpoints that may have ended.
@@ -161,14 +163,14 @@
         if state.pending(digest) {
             return Look::Wait;
         }
-        match state.table.standing(digest) {
-            Standing::Clear => Look::Free,
-            Standing::Suspect => Look::Barred(match state.table.trial(digest, stamp()) {
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Clear => Look::Free,
+            SuspicionLevel::Suspect => Look::Barred(match state.table.due_trial(digest, stamp()) {
                 Some(number) => Barred::Due(number),
                 None => Barred::Suspect,
             }),
-            Standing::Watched(_) if !mine && !state.turns.insert(*digest) => Look::Wait,
-            Standing::Watched(ends) => Look::Turn { apart: ends >= APART },
+            SuspicionLevel::Watched(_) if !mine && !state.turns.insert(*digest) => Look::Wait,
+            SuspicionLevel::Watched(ends) => Look::Turn { apart: ends >= APART },
         }
     }
 
@@ -178,12 +180,14 @@
             return true;
         }
         let state = self.lock();
-        match state.table.standing(digest) {
-            Standing::Suspect => false,
-            Standing::Watched(ends) if pass.turn.is_none() || (ends >= APART) != pass.apart => {
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Suspect => false,
+            SuspicionLevel::Watched(ends)
+                if pass.turn.is_none() || (ends >= APART) != pass.apart =>
+            {
                 false
             }
-            Standing::Watched(_) | Standing::Clear => !state.pending(digest),
+            SuspicionLevel::Watched(_) | SuspicionLevel::Clear => !state.pending(digest),
         }
     }
 
@@ -203,9 +207,9 @@
     }
 
     /// Whether it has is known; `death` if so.
-    pub(crate) fn examined(&self, pool: &Arc<Pool>, death: Option<Death>) {
+    pub(crate) fn examined(&self, pool: &Arc<Pool>, death: Option<Crash>) {
         if let Some(death) = death {
-            self.tell(Note::Death(death));
+            self.tell(QuarantineRecord::Crash(death));
         }
         self.lock().examined.retain(|other| !Arc::ptr_eq(other, pool));
         self.changed.notify_waiters();
@@ -213,14 +217,14 @@
 
     /// A request ran to its end: what it was at before does not speak against it.
     pub(crate) fn clear(&self, digest: &Digest) {
-        let standing = self.lock().table.standing(digest);
+        let standing = self.lock().table.suspicion(digest);
         // What is of no weight yet is worth no record.
         let weighs = match standing {
-            Standing::Clear => return,
-            Standing::Watched(ends) => ends >= APART,
-            Standing::Suspect => true,
+            SuspicionLevel::Clear => return,
+            SuspicionLevel::Watched(ends) => ends >= APART,
+            SuspicionLevel::Suspect => true,
         };
-        let note = Note::Release(Release { digest: *digest, at: stamp() });
+        let note = QuarantineRecord::Release(Release { digest: *digest, at: stamp() });
         if weighs {
             return self.tell(note);
         }
@@ -229,15 +233,15 @@
 
     /// Lets a request go; false if it is no suspect.
     pub(crate) fn release(&self, digest: &Digest) -> bool {
-        let suspect = self.lock().table.standing(digest) == Standing::Suspect;
+        let suspect = self.lock().table.suspicion(digest) == SuspicionLevel::Suspect;
         if suspect {
-            self.tell(Note::Release(Release { digest: *digest, at: stamp() }));
+            self.tell(QuarantineRecord::Release(Release { digest: *digest, at: stamp() }));
         }
         suspect
     }
 
     /// Takes a record of this router's own and has it written.
-    pub(crate) fn tell(&self, note: Note) {
+    pub(crate) fn tell(&self, note: QuarantineRecord) {
         let kept = Kept { key: note.key(&self.router), note };
         self.take(std::slice::from_ref(&kept));
         let _ = self.write.send(kept);
@@ -256,13 +260,13 @@
         let known: HashSet<&String> = state.recent.iter().map(|kept| &kept.key).collect();
         let fresh: Vec<Kept> = all
             .iter()
-            .filter(|kept| !known.contains(&kept.key) && !Table::stale(&kept.note, now))
+            .filter(|kept| !known.contains(&kept.key) && !CrashTable::is_expired(&kept.note, now))
             .cloned()
             .collect();
-        if state.table.take(all.iter().map(|kept| &kept.note), now) == 0 {
+        if state.table.apply(all.iter().map(|kept| &kept.note), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|kept| matches!(kept.note, Note::Death(_))) {
+        if fresh.iter().any(|kept| matches!(kept.note, QuarantineRecord::Crash(_))) {
             state.heard = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
@@ -311,9 +315,9 @@
 }
 
 /// Endpoint, life and age of each end.
-fn list(ends: &[Evidence], now: Stamp) -> String {
+fn list(ends: &[Evidence], now: UnixMillis) -> String {
     let one = |end: &Evidence| {
-        let life = end.life.unwrap_or_default();
+        let life = end.incarnation.unwrap_or_default();
         format!("{} {life} {}ms", end.endpoint, now.since(end.at).as_millis())
     };
     ends.iter().map(one).collect::<Vec<_>>().join(", ")
--- a/components/router/src/guard/tests.rs
+++ b/components/router/src/guard/tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quarantine::{Death, Digest, Note, Stamp};
+use quarantine::{Crash, Digest, QuarantineRecord, UnixMillis};
 use tokio::time::Instant;
 
 use super::{Barred, Guard, Pass, stamp};
@@ -19,13 +19,13 @@
 
 /// An endpoint ended with these.
 fn end(guard: &Guard, number: u32, runs: &[&str]) {
-    guard.tell(Note::Death(Death {
+    guard.tell(QuarantineRecord::Crash(Crash {
         endpoint: format!("i-{number}").parse().expect("an id"),
-        life: None,
+        incarnation: None,
         domain: "near".parse().expect("a domain"),
-        among: 9,
-        at: Stamp(stamp().0 - 10_000 + u64::from(number) * 500),
-        runs: runs.iter().map(|name| digest(name)).collect(),
+        domain_endpoints: 9,
+        at: UnixMillis(stamp().0 - 10_000 + u64::from(number) * 500),
+        requests: runs.iter().map(|name| digest(name)).collect(),
     }));
 }
 
--- a/components/router/src/known.rs
+++ b/components/router/src/known.rs
@@ -13,7 +13,7 @@
 use platform::Notice;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName, ServiceName, StorePosition};
+use units::{EndpointId, EndpointIncarnation, ModelName, ServiceName, StorePosition};
 
 use crate::cold::ColdLoads;
 use crate::endpoint::{Peer, Said, Usage};
@@ -57,7 +57,7 @@
     /// How far the list has been read, by this router or one that told it.
     pub(crate) read: StorePosition,
     /// What endpoints that are not listed any more said of themselves: an entry may come back that is older than that.
-    said: VecDeque<(EndpointId, Option<Life>, Said)>,
+    said: VecDeque<(EndpointId, Option<EndpointIncarnation>, Said)>,
 }
 
 /// All endpoints, shared by the tasks of a router.
@@ -116,7 +116,7 @@
     }
 
     /// Notes that a call to an endpoint in one of its lives failed.
-    pub(crate) fn failed(&self, id: &EndpointId, life: Option<Life>, cause: &str) {
+    pub(crate) fn failed(&self, id: &EndpointId, life: Option<EndpointIncarnation>, cause: &str) {
         let mut peers = self.lock();
         if peers.map.get(id).is_some_and(|peer| peer.lives(life)) {
             peers.pause(id, cause);
@@ -128,7 +128,7 @@
     pub(crate) fn noticed(
         &self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         notice: Notice,
         same: impl Fn(&Peer) -> bool,
     ) {
@@ -171,7 +171,7 @@
     }
 
     /// Notes that an endpoint answered in one of its lives.
-    pub(crate) fn worked(&self, id: &EndpointId, life: Option<Life>) {
+    pub(crate) fn worked(&self, id: &EndpointId, life: Option<EndpointIncarnation>) {
         let mut peers = self.lock();
         if let Some(peer) = peers.map.get_mut(id).filter(|peer| peer.lives(life)) {
             peer.failures = 0;
@@ -181,7 +181,12 @@
     }
 
     /// Notes that a model is not there, whatever was believed.
-    pub(crate) fn missing(&self, id: &EndpointId, life: Option<Life>, model: &ModelId) {
+    pub(crate) fn missing(
+        &self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+        model: &ModelId,
+    ) {
         let mut peers = self.lock();
         let peer = peers.map.get_mut(id).filter(|peer| peer.lives(life));
         let Some(peer) = peer else { return };
@@ -320,7 +325,12 @@
     }
 
     /// Remembers what an endpoint has said that is not listed any more.
-    pub(crate) fn keep_said(&mut self, id: &EndpointId, life: Option<Life>, said: Said) {
+    pub(crate) fn keep_said(
+        &mut self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+        said: Said,
+    ) {
         if said == Said::default() {
             return;
         }
@@ -331,10 +341,10 @@
     }
 
     /// What an endpoint has said in this life, if it was listed before.
-    pub(crate) fn said(&self, id: &EndpointId, life: Option<Life>) -> Said {
+    pub(crate) fn said(&self, id: &EndpointId, life: Option<EndpointIncarnation>) -> Said {
         let mut all = self.said.iter().rev();
         let found = all.find(|(other, then, said)| {
-            other == id && (!Life::differ(*then, life) || said.in_life(life))
+            other == id && (!EndpointIncarnation::differ(*then, life) || said.in_life(life))
         });
         found.map(|(_, _, said)| *said).unwrap_or_default()
     }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/ledger.rs
@@ -7,7 +7,7 @@
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
 use platform::{Follower, News, Put, Store, StoreError, Topic};
-use quarantine::{Digest, Note, Stamp, Table, Trial};
+use quarantine::{CrashTable, Digest, QuarantineRecord, Trial, UnixMillis};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use units::StorePosition;
@@ -48,7 +48,7 @@
         };
         match next {
             Ok(batch) => {
-                events::reached(Dependency::Ends);
+                events::record_reached(Dependency::Ends);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
@@ -112,7 +112,7 @@
             continue;
         }
         match serde_json::from_slice(&value) {
-            Ok(note) if Table::stale(&note, now) => stale.push(key),
+            Ok(note) if CrashTable::is_expired(&note, now) => stale.push(key),
             Ok(note) => all.push(Kept { key, note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be read: {error}");
@@ -151,7 +151,7 @@
     while let Some(kept) = records.recv().await {
         let value = serde_json::to_vec(&kept.note).unwrap_or_default();
         while let Err(error) = store.put(Topic::Ends, &kept.key, &value, None).await {
-            if error.is_final() || Table::stale(&kept.note, stamp()) {
+            if error.is_final() || CrashTable::is_expired(&kept.note, stamp()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -224,8 +224,8 @@
 /// Agrees with all routers that this one tries a suspect now: only one can write right behind what it has read.
 pub(crate) async fn claim(shared: &Arc<Shared>, digest: &Digest, number: u32) -> Option<Pass> {
     let read: Option<StorePosition> = *shared.ends_read.borrow();
-    let at: Stamp = stamp();
-    let note = Note::Trial(Trial { digest: *digest, number, at });
+    let at: UnixMillis = stamp();
+    let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
     match shared.store.put(Topic::Ends, &key, &value, Some(read?)).await {
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -175,7 +175,7 @@
         let stage = if endpoint.stage == Stage::Ready { "ready" } else { "draining" };
         let id = endpoint.id.clone();
         let addr = endpoint.addr.to_string();
-        let said = self.said(&id, endpoint.life);
+        let said = self.said(&id, endpoint.incarnation);
         let before = match self.map.entry(id.clone()) {
             Entry::Vacant(place) => {
                 place.insert(Peer::new(endpoint, now)).said = said;
@@ -210,7 +210,7 @@
 
     fn remove(&mut self, id: &EndpointId, cause: &str) {
         let Some(peer) = self.map.remove(id) else { return };
-        self.keep_said(id, peer.endpoint.life, peer.said);
+        self.keep_said(id, peer.endpoint.incarnation, peer.said);
         self.cold.forget(id);
         if let Some(task) = peer.task {
             task.abort();
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -16,7 +16,7 @@
 fn entry(number: usize, port: u16, stage: Stage) -> Endpoint {
     Endpoint {
         id: id(number),
-        life: None,
+        incarnation: None,
         service: "app".parse().expect("a service"),
         addr: ([10, 0, 0, 1], port).into(),
         domain: "near".parse().expect("a domain"),
@@ -180,8 +180,12 @@
     let until = Instant::now() + LAPSE;
     let _ = known.apply(whole(1, vec![seen(0, Stage::Ready)]), None);
     let _ = known.apply(news(2, vec![Change::Gone(id(0))]), Some(until));
-    known.lock().map.get_mut(&id(0)).expect("known").endpoint.life = Some(units::Life(200));
-    let entry = Endpoint { life: Some(units::Life(100)), ..entry(0, 0, Stage::Ready) };
+    known.lock().map.get_mut(&id(0)).expect("known").endpoint.incarnation =
+        Some(units::EndpointIncarnation(200));
+    let entry = Endpoint {
+        incarnation: Some(units::EndpointIncarnation(100)),
+        ..entry(0, 0, Stage::Ready)
+    };
     let _ = known.apply(news(3, vec![Change::Seen(Box::new(entry))]), None);
     assert_eq!(known.missing_until(&id(0)), None);
 }
--- a/components/router/src/peer.rs
+++ b/components/router/src/peer.rs
@@ -62,12 +62,12 @@
             let loaders = peers.map.values().filter(|peer| peer.task.is_some()).count();
             let Some(peer) = peers.map.get_mut(&id) else { return };
             peer.wait = calm_wait(loaders);
-            (peer.endpoint.life, uses, peer.wait)
+            (peer.endpoint.incarnation, uses, peer.wait)
         };
         let router = shared.instance.clone();
         let wait = if leaving { DRAIN_WAIT } else { calm };
         let (endpoint, era) = (id.clone(), shared.store.era());
-        let poll = Poll { router, endpoint, life, era, seen, wait, uses };
+        let poll = Poll { router, endpoint, incarnation: life, era, seen, wait, uses };
         match loader.poll(&poll).await {
             Ok(polled) => {
                 if let Some(since) = lost.take() {
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, StatusCode};
 use quarantine::Digest;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName};
+use units::{EndpointId, EndpointIncarnation, ModelName};
 
 use crate::endpoint::Peer;
 use crate::known::Peers;
@@ -21,7 +21,7 @@
     shared: Arc<Shared>,
     pub(crate) id: EndpointId,
     /// The life of the endpoint that it is in.
-    pub(crate) life: Option<Life>,
+    pub(crate) life: Option<EndpointIncarnation>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) running: u32,
     pub(crate) age: Duration,
@@ -67,7 +67,7 @@
         Some(Self {
             shared: shared.clone(),
             id,
-            life: peer.endpoint.life,
+            life: peer.endpoint.incarnation,
             pool: peer.pool.clone(),
             running: peer.running,
             age: now - heard,
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -43,7 +43,7 @@
         waits = false;
         match turn {
             Ok(()) => {
-                events::reached(Dependency::Roster);
+                events::record_reached(Dependency::Roster);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Roster, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -246,7 +246,7 @@
         match platform::check_health(&self.client, endpoint.addr, path, id, limit).await {
             Ok((health, notice)) => {
                 let same = |peer: &Peer| Arc::ptr_eq(&peer.pool, &pool);
-                self.known.noticed(id, endpoint.life, notice, same);
+                self.known.noticed(id, endpoint.incarnation, notice, same);
                 Some(health)
             }
             Err(error) => {
--- a/components/units/src/lib.rs
+++ b/components/units/src/lib.rs
@@ -9,7 +9,7 @@
     ParseIdError, RequestId, ServiceName, SettingName, WorkspaceName,
 };
 pub use position::{
-    Epoch, Era, FencingToken, Incarnation, Life, Offset, ParsePositionError, ReplicaIndex,
-    Revision, StorePosition,
+    EndpointIncarnation, Epoch, Era, FencingToken, Incarnation, Offset, ParsePositionError,
+    ReplicaIndex, Revision, StorePosition,
 };
 pub use quantity::{ParseQuantityError, Rate, Size, Span};
--- a/components/units/src/position.rs
+++ b/components/units/src/position.rs
@@ -70,7 +70,7 @@
 );
 position!(
     /// One life of an endpoint, from its start to its end: the Unix millisecond of the start by the endpoint's own clock.
-    Life, u64, "life of an endpoint"
+    EndpointIncarnation, u64, "endpoint incarnation"
 );
 position!(
     /// Of two who give orders to one endpoint, the one with the higher token started later.
@@ -81,7 +81,7 @@
     ReplicaIndex, u32, "replica index"
 );
 
-impl Life {
+impl EndpointIncarnation {
     /// Whether two who speak of an endpoint mean different lives of it; one that does not say which may mean the same.
     #[must_use]
     pub fn differ(one: Option<Self>, other: Option<Self>) -> bool {
--- a/src/cmd/suspects.rs
+++ b/src/cmd/suspects.rs
@@ -21,7 +21,7 @@
     for suspect in &suspects {
         writeln!(out, "  {}", suspect.digest)?;
         for end in &suspect.ends {
-            let life = end.life.map_or("unknown".to_owned(), |life| life.to_string());
+            let life = end.incarnation.map_or("unknown".to_owned(), |life| life.to_string());
             writeln!(out, "    endpoint {} ended, life {life}, at {} ms", end.endpoint, end.at)?;
         }
     }
--- a/src/cmd/suspects/tests.rs
+++ b/src/cmd/suspects/tests.rs
@@ -1,9 +1,9 @@
 use std::net::SocketAddr;
 
 use http::{Method, StatusCode};
-use quarantine::{Evidence, Stamp};
+use quarantine::{Evidence, UnixMillis};
 use tokio::sync::watch;
-use units::Life;
+use units::EndpointIncarnation;
 use web::ServeOptions;
 
 use super::*;
@@ -24,10 +24,10 @@
             (Method::GET, SUSPECTS_PATH) => {
                 let end = Evidence {
                     endpoint: "i-1".parse().expect("an id"),
-                    life: Some(Life(7)),
-                    at: Stamp(1_500),
+                    incarnation: Some(EndpointIncarnation(7)),
+                    at: UnixMillis(1_500),
                 };
-                let unknown = Evidence { life: None, ..end.clone() };
+                let unknown = Evidence { incarnation: None, ..end.clone() };
                 let suspect = Suspect { digest: digest(), ends: vec![end, unknown] };
                 web::json(StatusCode::OK, &vec![suspect])
             }
