--- a/components/catalog/src/catalog.rs
+++ b/components/catalog/src/catalog.rs
@@ -12,13 +12,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
     /// The largest header, in bytes.
-    pub header: usize,
+    #[serde(rename = "header")]
+    pub header_bytes: usize,
     /// The largest body, in bytes.
-    pub body: usize,
+    #[serde(rename = "body")]
+    pub body_bytes: usize,
     /// The longest time for a header to arrive.
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub header_timeout: Duration,
     /// The longest time that a connection is kept without a request.
-    pub idle: Duration,
+    #[serde(rename = "idle")]
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration, whole.
--- a/components/catalog/src/lib.rs
+++ b/components/catalog/src/lib.rs
@@ -7,5 +7,5 @@
 
 pub use catalog::{Catalog, Limits};
 pub use model::{Engine, ModelId, ModelSpec, ParseModelError};
-pub use route::{Backend, CallKind, Route, Service};
+pub use route::{CallKind, Route, Service, WeightedService};
 pub use workspace::{KeyDigest, Limit, ParseKeyError, Unit, Workspace, Workspaces};
--- a/components/catalog/src/model.rs
+++ b/components/catalog/src/model.rs
@@ -70,11 +70,14 @@
     /// Accelerator memory that one of its adapters takes.
     pub adapter: Size,
     /// A load from the weight store that has a lane to itself.
-    pub cold: Duration,
+    #[serde(rename = "cold")]
+    pub store_load: Duration,
     /// A load from the endpoint's disk.
-    pub disk: Duration,
+    #[serde(rename = "disk")]
+    pub disk_load: Duration,
     /// A load from the endpoint's host memory.
-    pub warm: Duration,
+    #[serde(rename = "warm")]
+    pub memory_load: Duration,
 }
 
 /// What all endpoints of a service that run models have in common.
@@ -83,17 +86,20 @@
     /// Requests that one endpoint runs at once.
     pub slots: u32,
     /// Tokens that the cache of one endpoint holds.
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub cache_tokens: u64,
     /// Accelerator memory of one endpoint for weights and adapters.
     pub memory: Size,
     /// Adapters that one endpoint holds at most.
     pub adapters: u32,
     /// Host memory of one endpoint for copies of weights.
-    pub host: Size,
+    #[serde(rename = "host")]
+    pub host_memory: Size,
     /// Disk of one endpoint for copies of weights.
     pub disk: Size,
     /// Loads from the weight store a second, over all endpoints.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub load_rate: f64,
     /// The models, sorted by name.
     pub models: Vec<(ModelName, ModelSpec)>,
 }
--- a/components/catalog/src/route.rs
+++ b/components/catalog/src/route.rs
@@ -34,7 +34,7 @@
 
 /// A service that a route leads to, with its share of the requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Backend {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its share, relative to the other weights of the route.
@@ -57,18 +57,22 @@
     /// The time within which an answer, or the first event of a stream, is worth most.
     pub target: Duration,
     /// The longest pause between two events of a stream that is on time; zero for other answers.
-    pub pause: Duration,
+    #[serde(rename = "pause")]
+    pub max_pause: Duration,
     /// The longest that callers wait for the first event of a stream, or for the next one.
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub event_timeout: Duration,
     /// How urgent it is; 0 goes first.
     pub priority: u8,
     /// Whether its requests need no key where the configuration has workspaces.
     #[serde(default)]
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub anonymous_allowed: bool,
     /// Endpoints that one request may be sent to.
     pub attempts: u32,
     /// Where requests go.
-    pub backends: Vec<Backend>,
+    #[serde(rename = "backends")]
+    pub services: Vec<WeightedService>,
 }
 
 impl Route {
@@ -84,16 +88,16 @@
     }
 
     /// The service for a request, chosen by a number that is random in 0..1.
-    pub fn backend(&self, random: f64) -> Option<&ServiceName> {
-        let total: u32 = self.backends.iter().map(|backend| backend.weight).sum();
+    pub fn choose_service(&self, random: f64) -> Option<&ServiceName> {
+        let total: u32 = self.services.iter().map(|backend| backend.weight).sum();
         let mut left = random * f64::from(total);
-        for backend in &self.backends {
+        for backend in &self.services {
             left -= f64::from(backend.weight);
             if left < 0.0 {
                 return Some(&backend.service);
             }
         }
-        self.backends.iter().rev().find(|backend| backend.weight > 0).map(|last| &last.service)
+        self.services.iter().rev().find(|backend| backend.weight > 0).map(|last| &last.service)
     }
 }
 
--- a/components/catalog/src/workspace.rs
+++ b/components/catalog/src/workspace.rs
@@ -74,7 +74,8 @@
     /// Each counts as the tokens of its prompt and the most that it may generate.
     Tokens {
         /// What one counts that does not say.
-        plain: u32,
+        #[serde(rename = "plain")]
+        default_cost: u32,
     },
 }
 
@@ -83,7 +84,7 @@
     pub fn cost(self, tokens: Option<(u32, u32)>) -> u32 {
         match (self, tokens) {
             (Self::Requests, _) => 1,
-            (Self::Tokens { plain }, None) => plain,
+            (Self::Tokens { default_cost }, None) => default_cost,
             (Self::Tokens { .. }, Some((prompt, most))) => prompt.saturating_add(most),
         }
     }
--- a/components/catalog/src/workspace/tests.rs
+++ b/components/catalog/src/workspace/tests.rs
@@ -7,7 +7,7 @@
         name: name.parse().expect("a name"),
         keys: keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect(),
         priority: None,
-        unit: Unit::Tokens { plain: 200 },
+        unit: Unit::Tokens { default_cost: 200 },
         limit: None,
     }
 }
@@ -40,7 +40,7 @@
 
 #[test]
 fn counts_a_request_by_both_of_its_numbers() {
-    let unit = Unit::Tokens { plain: 200 };
+    let unit = Unit::Tokens { default_cost: 200 };
     assert_eq!(unit.cost(Some((1_460, 80))), 1_540);
     assert_eq!(unit.cost(Some((u32::MAX, 1))), u32::MAX);
     assert_eq!(unit.cost(None), 200);
--- a/components/control/src/client.rs
+++ b/components/control/src/client.rs
@@ -6,8 +6,9 @@
 use web::{CallError, Client};
 
 use crate::{
-    Borrow, ENDS_PATH, ENGINE_PATH, ENSURE_PATH, EngineNews, Ensure, Ensured, Kept, Lent,
-    POLL_PATH, Poll, Polled, Position, SNAPSHOT_PATH, Snapshot, State, TOKENS_PATH,
+    BorrowRequest, BorrowResponse, CRASHES_PATH, ENGINE_PATH, ENSURE_PATH, EndpointState,
+    EngineUpdate, EnsureRequest, EnsureResponse, KeyedRecord, POLL_PATH, PollRequest, PollResponse,
+    Position, SNAPSHOT_PATH, Snapshot, TOKENS_PATH,
 };
 
 /// What an answer may take beyond the time that the loader was asked to wait.
@@ -15,35 +16,35 @@
 
 /// A client of one loader.
 #[derive(Debug, Clone)]
-pub struct Loader {
+pub struct LoaderClient {
     client: Client,
     addr: SocketAddr,
 }
 
-impl Loader {
+impl LoaderClient {
     /// A client of the loader at this address.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
 
     /// Asks for news.
-    pub async fn poll(&self, poll: &Poll) -> Result<Polled, CallError> {
+    pub async fn poll(&self, poll: &PollRequest) -> Result<PollResponse, CallError> {
         self.client.post(self.addr, POLL_PATH, poll, poll.wait + PATIENCE).await
     }
 
     /// Asks for a model.
-    pub async fn ensure(&self, ensure: &Ensure) -> Result<Ensured, CallError> {
+    pub async fn ensure(&self, ensure: &EnsureRequest) -> Result<EnsureResponse, CallError> {
         self.client.post(self.addr, ENSURE_PATH, ensure, ensure.within + PATIENCE).await
     }
 
     /// Says what the endpoint can hold.
-    pub async fn engine(&self, news: &EngineNews) -> Result<State, CallError> {
+    pub async fn update_engine(&self, news: &EngineUpdate) -> Result<EndpointState, CallError> {
         self.client.post(self.addr, ENGINE_PATH, news, PATIENCE).await
     }
 }
 
 /// Asks another router what it knows beyond a position; `None` if that is nothing.
-pub async fn ask_snapshot(
+pub async fn fetch_snapshot(
     client: &Client,
     router: SocketAddr,
     have: Position,
@@ -53,21 +54,21 @@
 }
 
 /// Tells another router of ended endpoints, and returns what it knows.
-pub async fn exchange_ends(
+pub async fn exchange_crash_records(
     client: &Client,
     router: SocketAddr,
-    kept: &[Kept],
+    kept: &[KeyedRecord],
     limit: Duration,
-) -> Result<Vec<Kept>, CallError> {
-    client.post(router, ENDS_PATH, &kept, limit).await
+) -> Result<Vec<KeyedRecord>, CallError> {
+    client.post(router, CRASHES_PATH, &kept, limit).await
 }
 
 /// Asks another router for tokens.
-pub async fn ask_tokens(
+pub async fn borrow_tokens(
     client: &Client,
     router: SocketAddr,
-    borrow: &Borrow,
+    borrow: &BorrowRequest,
     limit: Duration,
-) -> Result<Lent, CallError> {
+) -> Result<BorrowResponse, CallError> {
     client.post(router, TOKENS_PATH, borrow, limit).await
 }
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -3,10 +3,11 @@
 mod client;
 mod message;
 
-pub use client::{Loader, ask_snapshot, ask_tokens, exchange_ends};
+pub use client::{LoaderClient, borrow_tokens, exchange_crash_records, fetch_snapshot};
 pub use message::{
-    Borrow, DeniedKey, ENDS_PATH, ENGINE_PATH, ENSURE_PATH, EngineNews, Ensure, Ensured, Kept,
-    Lent, LetGo, Load, POLL_PATH, Poll, Polled, Position, Proved, RELEASE_PATH, SNAPSHOT_PATH,
-    SUSPECTS_PATH, Snapshot, State, Suspect, TOKENS_PATH, Use, Verdict, WORKSPACES_PATH,
-    WorkspaceReport, WorkspacesReport,
+    BorrowRequest, BorrowResponse, CRASHES_PATH, ConfirmedVersion, DeniedKey, ENGINE_PATH,
+    ENSURE_PATH, EndpointLoad, EndpointState, EngineUpdate, EnsureOutcome, EnsureRequest,
+    EnsureResponse, KeyedRecord, ModelUse, POLL_PATH, PollRequest, PollResponse, Position,
+    RELEASE_PATH, ReleaseRequest, SNAPSHOT_PATH, SUSPECTS_PATH, Snapshot, Suspect, TOKENS_PATH,
+    WORKSPACES_PATH, WorkspaceReport, WorkspacesReport,
 };
--- a/components/control/src/message.rs
+++ b/components/control/src/message.rs
@@ -20,7 +20,7 @@
 
 /// How a router uses one model of the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct ModelUse {
     /// The model.
     pub model: ModelName,
     /// Requests begun since the last time.
@@ -31,7 +31,7 @@
 
 /// A router asks for news, and says what it uses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Poll {
+pub struct PollRequest {
     /// The router, by the name of its instance.
     pub router: String,
     /// The endpoint, as the platform's list names it.
@@ -49,12 +49,12 @@
     #[serde(with = "fleet::millis")]
     pub wait: Duration,
     /// What it uses.
-    pub uses: Vec<Use>,
+    pub uses: Vec<ModelUse>,
 }
 
 /// What a loader says of its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct EndpointState {
     /// The version of this news.
     pub version: u64,
     /// The endpoint that it is about, if the loader knows.
@@ -67,22 +67,25 @@
     pub holdings: Holdings,
     /// How busy it is.
     #[serde(flatten)]
-    pub load: Load,
+    pub load: EndpointLoad,
     /// How long it is expected to take until there is room for one more model.
     #[serde(with = "fleet::millis")]
-    pub room: Duration,
+    #[serde(rename = "room")]
+    pub room_wait: Duration,
     /// Whether the loader may give orders.
-    pub able: bool,
+    #[serde(rename = "able")]
+    pub can_order: bool,
     /// Whether the endpoint says that it leaves and takes no new work.
     #[serde(default)]
     pub draining: bool,
     /// The configuration from which it knows what the endpoint can hold; 0 if it does not.
-    pub engine: Revision,
+    #[serde(rename = "engine")]
+    pub engine_version: Revision,
 }
 
 /// How busy an endpoint is: what changes all the time and is told with each answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct EndpointLoad {
     /// Models that wait to be loaded.
     pub waiting: u32,
     /// Requests that run there, as far as routers have said.
@@ -91,20 +94,22 @@
     pub routers: u32,
 }
 
-/// The answer to a [`Poll`].
+/// The answer to a [`PollRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Polled {
+pub enum PollResponse {
     /// Newer news.
-    News(Box<State>),
+    #[serde(rename = "news")]
+    Changed(Box<EndpointState>),
     /// None but how busy the endpoint is: what it holds and keeps copies of is ten times as long, and with some thousand
     /// pairs of routers and loaders most answers have nothing else to tell.
-    Same(Load),
+    #[serde(rename = "same")]
+    Unchanged(EndpointLoad),
 }
 
 /// A router asks for a model, with its adapter if one is named.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ensure {
+pub struct EnsureRequest {
     /// The router.
     pub router: String,
     /// The endpoint.
@@ -121,22 +126,23 @@
     pub rate: f64,
 }
 
-/// What became of an [`Ensure`].
+/// What became of an [`EnsureRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum EnsureOutcome {
     /// It is loaded.
     Ready,
     /// It is not and won't be in time; ask again after this time at the earliest.
     Refused(#[serde(with = "fleet::millis")] Duration),
 }
 
-/// The answer to an [`Ensure`].
+/// The answer to an [`EnsureRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ensured {
+pub struct EnsureResponse {
     /// What became of it.
-    pub verdict: Verdict,
+    #[serde(rename = "verdict")]
+    pub outcome: EnsureOutcome,
     /// The newest state.
-    pub state: State,
+    pub state: EndpointState,
 }
 
 /// Where a router tells another one what it knows.
@@ -180,7 +186,8 @@
     pub endpoints: Vec<Endpoint>,
     /// The other endpoints that there are; one that is in neither list is gone.
     #[serde(default)]
-    pub kept: Vec<EndpointId>,
+    #[serde(rename = "kept")]
+    pub unchanged: Vec<EndpointId>,
     /// Those of both whose entries are missing since the store was away, and may come back.
     #[serde(default)]
     pub missing: Vec<EndpointId>,
@@ -189,12 +196,13 @@
     pub read: StorePosition,
     /// Which configuration is in force, and how old the proof is that there is no newer one.
     #[serde(default)]
-    pub proved: Option<Proved>,
+    #[serde(rename = "proved")]
+    pub confirmed: Option<ConfirmedVersion>,
 }
 
 /// How old the proof is that a version of the configuration is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Proved {
+pub struct ConfirmedVersion {
     /// The version.
     pub version: Revision,
     /// The age, when it was told.
@@ -202,21 +210,21 @@
     pub age: Duration,
 }
 
-/// Where a router asks another one for tokens of a workspace: `POST` with [`Borrow`].
+/// Where a router asks another one for tokens of a workspace: `POST` with [`BorrowRequest`].
 pub const TOKENS_PATH: &str = "/tokens";
 
 /// A router is short of tokens.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Borrow {
+pub struct BorrowRequest {
     /// The workspace.
     pub workspace: WorkspaceName,
     /// How many it wants at most.
     pub tokens: f64,
 }
 
-/// The answer to a [`Borrow`]: they are taken from the bucket of the one that answers.
+/// The answer to a [`BorrowRequest`]: they are taken from the bucket of the one that answers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct BorrowResponse {
     /// How many.
     pub tokens: f64,
 }
@@ -270,19 +278,20 @@
 }
 
 /// Where a router tells another one of endpoints that ended, and is told what that one knows.
-pub const ENDS_PATH: &str = "/ends";
+pub const CRASHES_PATH: &str = "/ends";
 /// Where a router lists the requests that it refuses because they crash endpoints.
 pub const SUSPECTS_PATH: &str = "/suspects";
-/// Where an operator lets one of them go: `POST` with [`LetGo`].
+/// Where an operator lets one of them go: `POST` with [`ReleaseRequest`].
 pub const RELEASE_PATH: &str = "/release";
 
 /// A record of the topic on ended endpoints, with its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct KeyedRecord {
     /// The key.
     pub key: String,
     /// The record.
-    pub note: QuarantineRecord,
+    #[serde(rename = "note")]
+    pub record: QuarantineRecord,
 }
 
 /// A request that is refused because it crashes endpoints.
@@ -291,19 +300,20 @@
     /// What tells it from others.
     pub digest: Digest,
     /// The ends that speak against it.
-    pub ends: Vec<Evidence>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<Evidence>,
 }
 
 /// An operator lets a request go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LetGo {
+pub struct ReleaseRequest {
     /// What tells it from others.
     pub digest: Digest,
 }
 
 /// What the endpoints of the service can hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineUpdate {
     /// The configuration that it is from.
     pub version: Revision,
     /// It.
--- a/components/fleet/src/change.rs
+++ b/components/fleet/src/change.rs
@@ -6,19 +6,19 @@
 
 /// One piece of news of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum EndpointChange {
     /// An entry is there, new or changed.
-    Seen(Box<Endpoint>),
+    Listed(Box<Endpoint>),
     /// An entry is no longer there.
-    Gone(EndpointId),
+    Removed(EndpointId),
 }
 
-impl Change {
+impl EndpointChange {
     /// The endpoint whose entry is there.
-    pub fn seen(&self) -> Option<&EndpointId> {
+    pub fn listed(&self) -> Option<&EndpointId> {
         match self {
-            Self::Seen(endpoint) => Some(&endpoint.id),
-            Self::Gone(_) => None,
+            Self::Listed(endpoint) => Some(&endpoint.id),
+            Self::Removed(_) => None,
         }
     }
 }
--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -9,7 +9,7 @@
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum EndpointStage {
     /// It does.
     Ready,
     /// It finishes what it has and leaves; with the time that is left, if it was told.
@@ -18,7 +18,7 @@
 
 /// Copies of weights that an endpoint keeps outside its accelerator.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copies {
+pub struct WeightCopies {
     /// In host memory.
     pub memory: Vec<ModelName>,
     /// On disk.
@@ -27,7 +27,7 @@
 
 /// A model that is in an endpoint's accelerator, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model.
     pub model: ModelName,
     /// Its adapters.
@@ -43,33 +43,36 @@
     pub cold: bool,
     /// How long it is expected to take from now.
     #[serde(with = "crate::millis")]
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub remaining: Duration,
 }
 
 /// What an endpoint holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
     /// Loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Copies.
-    pub copies: Copies,
+    pub copies: WeightCopies,
     /// The load in progress.
     pub loading: Option<Loading>,
     /// Models that are about to make way and must get no new requests.
-    pub leaving: Vec<ModelName>,
+    #[serde(rename = "leaving")]
+    pub evicting: Vec<ModelName>,
 }
 
 impl Holdings {
     /// Whether the model is loaded and stays.
     pub fn holds(&self, model: &ModelName) -> bool {
-        self.models.iter().any(|held| held.model == *model) && !self.leaving.contains(model)
+        self.models.iter().any(|held| held.model == *model) && !self.evicting.contains(model)
     }
 
     /// Whether the model is loaded, with the adapter if one is asked for.
     pub fn serves(&self, id: &ModelId) -> bool {
         let held = self.models.iter().find(|held| held.model == id.model);
-        let adapter = |held: &Held| id.adapter.as_ref().is_none_or(|a| held.adapters.contains(a));
-        held.is_some_and(adapter) && !self.leaving.contains(&id.model)
+        let adapter =
+            |held: &LoadedModel| id.adapter.as_ref().is_none_or(|a| held.adapters.contains(a));
+        held.is_some_and(adapter) && !self.evicting.contains(&id.model)
     }
 }
 
@@ -91,7 +94,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new work.
-    pub stage: Stage,
+    pub stage: EndpointStage,
     /// What it held when it wrote the entry, if it runs models.
     pub holdings: Option<Holdings>,
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -5,6 +5,6 @@
 pub mod millis;
 mod tier;
 
-pub use change::Change;
-pub use endpoint::{Copies, Endpoint, Held, Holdings, Loading, Stage};
+pub use change::EndpointChange;
+pub use endpoint::{Endpoint, EndpointStage, Holdings, LoadedModel, Loading, WeightCopies};
 pub use tier::Tier;
--- a/components/fleet/src/tier.rs
+++ b/components/fleet/src/tier.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use units::ModelName;
 
-use crate::{Copies, Holdings};
+use crate::{Holdings, WeightCopies};
 
 /// An adapter, with the order and its answer.
 const ADAPTER: Duration = Duration::from_millis(30);
@@ -27,17 +27,17 @@
 
 impl Tier {
     /// How long a load takes that has nothing in its way.
-    pub fn load(self, spec: &ModelSpec) -> Duration {
+    pub fn load_time(self, spec: &ModelSpec) -> Duration {
         match self {
             Self::Adapter => ADAPTER,
-            Self::Memory => spec.warm,
-            Self::Disk => spec.disk,
-            Self::Store => spec.cold,
+            Self::Memory => spec.memory_load,
+            Self::Disk => spec.disk_load,
+            Self::Store => spec.store_load,
         }
     }
 }
 
-impl Copies {
+impl WeightCopies {
     /// Where a model is loaded from that is not in the accelerator.
     pub fn tier(&self, model: &ModelName) -> Tier {
         if self.memory.contains(model) {
--- a/components/loader/src/desk.rs
+++ b/components/loader/src/desk.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use control::{
-    ENGINE_PATH, ENSURE_PATH, EngineNews, Ensure, Ensured, POLL_PATH, Poll, Polled, State, Verdict,
+    ENGINE_PATH, ENSURE_PATH, EndpointState, EngineUpdate, EnsureOutcome, EnsureRequest,
+    EnsureResponse, POLL_PATH, PollRequest, PollResponse,
 };
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -22,18 +23,18 @@
 #[derive(Debug)]
 pub(crate) enum Command {
     /// A router says what it uses.
-    Uses(Poll),
+    Uses(PollRequest),
     /// A router asks for a model.
-    Ensure(Ensure, oneshot::Sender<Verdict>),
+    Ensure(EnsureRequest, oneshot::Sender<EnsureOutcome>),
     /// A router says what the endpoint can hold.
-    Engine(EngineNews),
+    Engine(EngineUpdate),
 }
 
 /// Answers one router's request; cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct Desk {
     pub(crate) commands: mpsc::Sender<Command>,
-    pub(crate) state: watch::Receiver<State>,
+    pub(crate) state: watch::Receiver<EndpointState>,
     /// The highest era of the store that a router has spoken of.
     pub(crate) heard: watch::Sender<Era>,
 }
@@ -62,7 +63,7 @@
     }
 
     async fn poll(mut self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let poll: Poll = serde_json::from_slice(bytes)?;
+        let poll: PollRequest = serde_json::from_slice(bytes)?;
         let (seen, wait, era) = (poll.seen, poll.wait.min(LONGEST), poll.era);
         self.heard.send_if_modified(|heard| {
             let later = era > *heard;
@@ -73,28 +74,28 @@
         let newer = self.state.wait_for(|state| state.version != seen);
         let newer = tokio::time::timeout(wait, newer).await.is_ok();
         let polled = if newer {
-            Polled::News(Box::new(self.state.borrow().clone()))
+            PollResponse::Changed(Box::new(self.state.borrow().clone()))
         } else {
-            Polled::Same(self.state.borrow().load)
+            PollResponse::Unchanged(self.state.borrow().load)
         };
         Ok(web::json(StatusCode::OK, &polled))
     }
 
     async fn ensure(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let ensure: Ensure = serde_json::from_slice(bytes)?;
+        let ensure: EnsureRequest = serde_json::from_slice(bytes)?;
         let within = ensure.within.min(LONGEST);
         let (reply, verdict) = oneshot::channel();
         let _ = self.commands.send(Command::Ensure(ensure, reply)).await;
         let verdict = match tokio::time::timeout(within, verdict).await {
             Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) | Err(_) => Verdict::Refused(AGAIN),
+            Ok(Err(_)) | Err(_) => EnsureOutcome::Refused(AGAIN),
         };
         let state = self.state.borrow().clone();
-        Ok(web::json(StatusCode::OK, &Ensured { verdict, state }))
+        Ok(web::json(StatusCode::OK, &EnsureResponse { outcome: verdict, state }))
     }
 
     async fn engine(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let news: EngineNews = serde_json::from_slice(bytes)?;
+        let news: EngineUpdate = serde_json::from_slice(bytes)?;
         let _ = self.commands.send(Command::Engine(news)).await;
         Ok(self.now())
     }
--- a/components/loader/src/desk/tests.rs
+++ b/components/loader/src/desk/tests.rs
@@ -1,30 +1,30 @@
 //! Tests of what routers are told.
 
-use control::Load;
+use control::EndpointLoad;
 use fleet::Holdings;
 use http_body_util::BodyExt;
 use units::Revision;
 
 use super::*;
 
-fn state(version: u64) -> State {
+fn state(version: u64) -> EndpointState {
     let copies = (0..40).map(|n| format!("model-{n}").parse().expect("a name")).collect();
-    let copies = fleet::Copies { memory: Vec::new(), disk: copies };
-    State {
+    let copies = fleet::WeightCopies { memory: Vec::new(), disk: copies };
+    EndpointState {
         version,
         endpoint: None,
         incarnation: None,
         holdings: Holdings { copies, ..Holdings::default() },
-        load: Load { waiting: 2, running: 5, routers: 3 },
-        room: Duration::ZERO,
-        able: true,
+        load: EndpointLoad { waiting: 2, running: 5, routers: 3 },
+        room_wait: Duration::ZERO,
+        can_order: true,
         draining: false,
-        engine: Revision(1),
+        engine_version: Revision(1),
     }
 }
 
-async fn ask(desk: Desk, seen: u64) -> (Polled, usize) {
-    let poll = Poll {
+async fn ask(desk: Desk, seen: u64) -> (PollResponse, usize) {
+    let poll = PollRequest {
         router: "front-1".to_owned(),
         endpoint: "i-1".parse().expect("an id"),
         incarnation: None,
@@ -45,9 +45,12 @@
     let (_sender, news) = watch::channel(state(7));
     let desk = Desk { commands, state: news, heard: watch::Sender::default() };
     let (polled, whole) = ask(desk.clone(), 0).await;
-    assert_eq!(polled, Polled::News(Box::new(state(7))));
+    assert_eq!(polled, PollResponse::Changed(Box::new(state(7))));
     let (polled, short) = ask(desk, 7).await;
-    assert_eq!(polled, Polled::Same(Load { waiting: 2, running: 5, routers: 3 }));
+    assert_eq!(
+        polled,
+        PollResponse::Unchanged(EndpointLoad { waiting: 2, running: 5, routers: 3 })
+    );
     assert!(short * 10 < whole, "{short} of {whole} bytes");
 }
 
@@ -59,5 +62,5 @@
     let asked = tokio::spawn(ask(desk, 7));
     tokio::time::sleep(Duration::from_millis(100)).await;
     sender.send_replace(state(8));
-    assert_eq!(asked.await.expect("an answer").0, Polled::News(Box::new(state(8))));
+    assert_eq!(asked.await.expect("an answer").0, PollResponse::Changed(Box::new(state(8))));
 }
--- a/components/loader/src/ledger.rs
+++ b/components/loader/src/ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use control::Verdict;
+use control::EnsureOutcome;
 use platform::Report;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -22,7 +22,7 @@
     /// Since when.
     pub(crate) since: Instant,
     /// Who gets the verdict.
-    pub(crate) replies: Vec<oneshot::Sender<Verdict>>,
+    pub(crate) replies: Vec<oneshot::Sender<EnsureOutcome>>,
 }
 
 impl Want {
--- a/components/loader/src/plan/tests.rs
+++ b/components/loader/src/plan/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use catalog::ModelSpec;
-use fleet::{Copies, Held};
+use fleet::{LoadedModel, WeightCopies};
 use platform::{Notice, Report};
 
 use super::*;
@@ -22,22 +22,22 @@
     let spec = ModelSpec {
         weights: Size(40),
         adapter: Size(1),
-        cold: Duration::from_secs(6),
-        disk: Duration::from_millis(500),
-        warm: Duration::from_millis(300),
+        store_load: Duration::from_secs(6),
+        disk_load: Duration::from_millis(500),
+        memory_load: Duration::from_millis(300),
     };
     let names = ["a", "b", "c", "d"];
     let engine = Engine {
         slots: 64,
-        tokens: 1_000,
+        cache_tokens: 1_000,
         memory: Size(90),
         adapters: 2,
-        host: Size(60),
+        host_memory: Size(60),
         disk: Size(500),
-        rate: 7.0,
+        load_rate: 7.0,
         models: names.map(|text| (name(text), spec.clone())).into(),
     };
-    let held = |(model, adapters): &(&str, &[&str])| Held {
+    let held = |(model, adapters): &(&str, &[&str])| LoadedModel {
         model: name(model),
         adapters: adapters.iter().map(|text| text.parse().expect("an adapter")).collect(),
     };
@@ -45,7 +45,7 @@
         life: None,
         models: models.iter().map(held).collect(),
         incoming: Vec::new(),
-        copies: Copies { memory: Vec::new(), disk: names.map(name).into() },
+        copies: WeightCopies { memory: Vec::new(), disk: names.map(name).into() },
         busy: false,
         sequence: 1,
         running: 0,
--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use control::{Load, State};
+use control::{EndpointLoad, EndpointState};
 use fleet::Holdings;
 use platform::Store;
 use process::{Phase, Single, StartError};
@@ -26,16 +26,16 @@
         process::serve_metrics(addr).await?;
     }
     let (commands, inbox) = mpsc::channel(COMMANDS);
-    let (state, news) = watch::channel(State {
+    let (state, news) = watch::channel(EndpointState {
         version: 1,
         endpoint: None,
         incarnation: None,
         holdings: Holdings::default(),
-        load: Load::default(),
-        room: std::time::Duration::ZERO,
-        able: false,
+        load: EndpointLoad::default(),
+        room_wait: std::time::Duration::ZERO,
+        can_order: false,
         draining: false,
-        engine: Revision(0),
+        engine_version: Revision(0),
     });
     let (sender, start) = watch::channel(None);
     let instance = settings.instance.to_string();
--- a/components/loader/src/steward.rs
+++ b/components/loader/src/steward.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{State, Verdict};
+use control::{EndpointState, EnsureOutcome};
 use events::{Dependency, Event, emit, millis};
 use fleet::Tier;
 use platform::{Work, read_report};
@@ -68,7 +68,7 @@
     /// What it last said to wait for a lane for.
     wished: Option<Wish>,
     commands: mpsc::Receiver<Command>,
-    state: watch::Sender<State>,
+    state: watch::Sender<EndpointState>,
     endpoint: Option<EndpointId>,
     /// The life of the endpoint that the last report was about.
     life: Option<EndpointIncarnation>,
@@ -93,7 +93,7 @@
         token: Token,
         lane: Lane,
         commands: mpsc::Receiver<Command>,
-        state: watch::Sender<State>,
+        state: watch::Sender<EndpointState>,
     ) -> Self {
         Self {
             instance,
@@ -210,7 +210,7 @@
                 let fresh = self.reached.is_some_and(|reached| reached.elapsed() < FRESH);
                 if self.ledger.holds(&ensure.target) {
                     if fresh {
-                        let _ = reply.send(Verdict::Ready);
+                        let _ = reply.send(EnsureOutcome::Ready);
                         return;
                     }
                     // The router may have found it missing: the endpoint is asked before it is promised.
@@ -310,12 +310,12 @@
             ledger.wants.keys().filter(|id| ledger.holds(id)).cloned().collect();
         for id in ready {
             self.ledger.touch(&id.model, now);
-            self.answer(&id, Verdict::Ready);
+            self.answer(&id, EnsureOutcome::Ready);
         }
         self.ledger.wants.retain(|_, want| want.due > now);
     }
 
-    fn answer(&mut self, id: &ModelId, verdict: Verdict) {
+    fn answer(&mut self, id: &ModelId, verdict: EnsureOutcome) {
         let Some(want) = self.ledger.wants.remove(id) else { return };
         for reply in want.replies {
             let _ = reply.send(verdict);
@@ -341,7 +341,7 @@
                 true
             }
             Next::Refuse(id, after) => {
-                self.answer(&id, Verdict::Refused(after));
+                self.answer(&id, EnsureOutcome::Refused(after));
                 true
             }
             Next::Order(work, target) => {
--- a/components/loader/src/steward/orders.rs
+++ b/components/loader/src/steward/orders.rs
@@ -1,7 +1,7 @@
 //! The orders that a steward gives, and what becomes of them.
 
 use catalog::ModelId;
-use control::Verdict;
+use control::EnsureOutcome;
 use events::{Event, OrderOutcome, emit, millis};
 use fleet::Tier;
 use platform::{Fence, Order, Outcome, Work, call_order};
@@ -61,7 +61,7 @@
             }
             Ok(Outcome::Refused(_)) => {
                 self.pending = None;
-                self.answer(&target, Verdict::Refused(CALM));
+                self.answer(&target, EnsureOutcome::Refused(CALM));
             }
             // The report tells whether it was carried out; an order that comes late finds another sequence.
             Ok(Outcome::Busy) | Err(_) => {
@@ -105,7 +105,7 @@
             None => copies.map_or(Tier::Store, |copies| copies.tier(&target.model)),
         };
         let expect = match work {
-            Work::Load => spec.map_or(EAGER, |spec| tier.load(spec)),
+            Work::Load => spec.map_or(EAGER, |spec| tier.load_time(spec)),
             Work::Unload => EAGER,
         };
         Pending { work, target: target.clone(), tier, since: Instant::now(), expect }
--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/steward/publish.rs
@@ -1,6 +1,6 @@
 //! What a loader tells the routers.
 
-use control::Load;
+use control::EndpointLoad;
 use events::{Event, emit};
 use fleet::{Holdings, Loading, Tier};
 use platform::Work;
@@ -18,7 +18,7 @@
         let loading = pending.filter(|p| p.work == Work::Load).map(|p| Loading {
             model: p.target.model.clone(),
             cold: p.tier == Tier::Store,
-            left: (p.since + p.expect).saturating_duration_since(now),
+            remaining: (p.since + p.expect).saturating_duration_since(now),
         });
         let leaving = pending.filter(|p| p.work == Work::Unload).map(|p| p.target.model.clone());
         let leaving = leaving.or(self.ledger.leaving.as_ref().map(|one| one.model.clone()));
@@ -27,7 +27,7 @@
             models: report.map(|report| report.models.clone()).unwrap_or_default(),
             copies: report.map(|report| report.copies.clone()).unwrap_or_default(),
             loading,
-            leaving: leaving.into_iter().collect(),
+            evicting: leaving.into_iter().collect(),
         };
         let urgent = self.ledger.wants.values().filter(|want| want.waiting() > 0).count();
         let waiting = u32::try_from(urgent).unwrap_or(u32::MAX);
@@ -38,26 +38,26 @@
             && self.ledger.engine.is_some();
         self.state.send_if_modified(|state| {
             let same = state.holdings.models == holdings.models
-                && state.holdings.leaving == holdings.leaving
+                && state.holdings.evicting == holdings.evicting
                 && state.holdings.copies == holdings.copies
                 && state.holdings.loading.as_ref().map(|l| &l.model)
                     == holdings.loading.as_ref().map(|l| &l.model)
-                && state.able == able
+                && state.can_order == able
                 && state.draining == draining
-                && state.room == room
-                && state.engine == self.engine
+                && state.room_wait == room
+                && state.engine_version == self.engine
                 && state.endpoint == self.endpoint
                 && state.incarnation == self.life;
-            state.load = Load { waiting, running, routers: self.ledger.heard() };
+            state.load = EndpointLoad { waiting, running, routers: self.ledger.heard() };
             if same {
                 return false;
             }
             state.version += 1;
             state.holdings = holdings;
-            state.able = able;
+            state.can_order = able;
             state.draining = draining;
-            state.room = room;
-            state.engine = self.engine;
+            state.room_wait = room;
+            state.engine_version = self.engine;
             state.endpoint = self.endpoint.clone();
             state.incarnation = self.life;
             emit(&Event::Holds {
--- a/components/loader/src/steward/turns.rs
+++ b/components/loader/src/steward/turns.rs
@@ -12,7 +12,7 @@
     pub(super) fn ask_lane(&mut self) {
         let wish = plan::cold_want(&self.ledger).map(|(model, worth)| {
             let spec = self.ledger.engine.as_ref().and_then(|engine| engine.model(model));
-            let alone = spec.map_or(CALM, |spec| spec.cold);
+            let alone = spec.map_or(CALM, |spec| spec.store_load);
             Wish { model: model.clone(), worth, alone }
         });
         let same = match (&self.wished, &wish) {
--- a/components/placement/src/candidate.rs
+++ b/components/placement/src/candidate.rs
@@ -62,7 +62,7 @@
     pub(crate) fn free(&self, engine: &Engine) -> Size {
         let Some(holdings) = self.holdings else { return Size(0) };
         let weights = |name: &ModelName| engine.model(name).map_or(Size(0), |spec| spec.weights);
-        let adapters = |held: &fleet::Held| {
+        let adapters = |held: &fleet::LoadedModel| {
             let each = engine.model(&held.model).map_or(0, |spec: &ModelSpec| spec.adapter.0);
             Size(each * held.adapters.len() as u64)
         };
--- a/components/placement/src/fixture.rs
+++ b/components/placement/src/fixture.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelSpec};
-use fleet::{Endpoint, Held, Holdings, Stage};
+use fleet::{Endpoint, EndpointStage, Holdings, LoadedModel};
 use units::{Domain, ModelName, Size};
 
 use crate::Candidate;
@@ -37,7 +37,7 @@
             addr: ([10, 0, 0, u8::try_from(index).expect("few")], 80).into(),
             domain: domain(),
             slots: 64,
-            stage: Stage::Ready,
+            stage: EndpointStage::Ready,
             holdings: None,
         };
         Self {
@@ -58,7 +58,7 @@
 
     pub(crate) fn hold(&mut self, index: usize, model: &str, adapters: &[&str]) {
         let adapters = adapters.iter().map(|text| text.parse().expect("an adapter")).collect();
-        self.holdings[index].models.push(Held { model: name(model), adapters });
+        self.holdings[index].models.push(LoadedModel { model: name(model), adapters });
     }
 
     pub(crate) fn copy(&mut self, index: usize, model: &str) {
@@ -86,18 +86,18 @@
     let spec = ModelSpec {
         weights: Size(40),
         adapter: Size(1),
-        cold: Duration::from_secs(6),
-        disk: Duration::from_millis(500),
-        warm: Duration::from_millis(300),
+        store_load: Duration::from_secs(6),
+        disk_load: Duration::from_millis(500),
+        memory_load: Duration::from_millis(300),
     };
     Engine {
         slots: 64,
-        tokens: 1_000,
+        cache_tokens: 1_000,
         memory: Size(90),
         adapters: 8,
-        host: Size(60),
+        host_memory: Size(60),
         disk: Size(500),
-        rate: 7.0,
+        load_rate: 7.0,
         models: ["a", "b", "c", "d", "e", "f", "g", "h"]
             .map(|text| (name(text), spec.clone()))
             .into(),
--- a/components/placement/src/prepare/tests.rs
+++ b/components/placement/src/prepare/tests.rs
@@ -14,7 +14,7 @@
     site.copy(0, "a");
     site.hold(1, "b", &[]);
     site.holdings[2].loading =
-        Some(fleet::Loading { model: name("c"), cold: true, left: std::time::Duration::ZERO });
+        Some(fleet::Loading { model: name("c"), cold: true, remaining: std::time::Duration::ZERO });
     let planned = prepare(&site.candidates(), &engine(), lanes(8), &HashSet::new(), |_| 0.0);
     let names: Vec<&str> = planned.iter().map(|(model, _)| model.as_str()).collect();
     assert_eq!(names, ["d", "e"], "only two endpoints are idle");
--- a/components/placement/src/serve/tests.rs
+++ b/components/placement/src/serve/tests.rs
@@ -74,7 +74,7 @@
 fn a_model_that_makes_room_gets_nothing_new() {
     let mut site = Site::new(2);
     (0..2).for_each(|index| site.hold(index, "m", &[]));
-    site.holdings[0].leaving = vec!["m".parse().expect("a name")];
+    site.holdings[0].evicting = vec!["m".parse().expect("a name")];
     let id: ModelId = "m".parse().expect("an id");
     assert_eq!(chosen(&site, Some(&id)), Some(1));
 }
--- a/components/placement/src/wake.rs
+++ b/components/placement/src/wake.rs
@@ -89,16 +89,16 @@
     engine: &Engine,
 ) -> (Tier, Duration) {
     let tier = holdings.tier(model);
-    let load = tier.load(spec);
+    let load = tier.load_time(spec);
     if tier == Tier::Adapter {
         return (tier, load + RUN * candidate.running);
     }
     if let Some(loading) = &holdings.loading
         && loading.model == *model
     {
-        return (tier, loading.left);
+        return (tier, loading.remaining);
     }
-    let before = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.left);
+    let before = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.remaining);
     let free = candidate.free(engine) >= spec.weights;
     let room = if free { Duration::ZERO } else { ROOM + candidate.room };
     (tier, load + before + TURN * candidate.waiting + room + RUN * candidate.running)
--- a/components/placement/src/wake/tests.rs
+++ b/components/placement/src/wake/tests.rs
@@ -57,7 +57,8 @@
 fn a_load_in_progress_is_joined() {
     let mut site = Site::new(3);
     let left = Duration::from_secs(2);
-    site.holdings[1].loading = Some(fleet::Loading { model: name("a"), cold: true, left });
+    site.holdings[1].loading =
+        Some(fleet::Loading { model: name("a"), cold: true, remaining: left });
     let wake = wake(&site.candidates(), &id("a"), &engine(), Source::Copies).expect("a place");
     assert_eq!((wake.index, wake.expect), (1, left));
 }
--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -13,7 +13,7 @@
 use access::{Credential, Denial, Lookup, Proof, Verdict, judge};
 use catalog::{Catalog, KeyDigest, Route, Workspace, Workspaces};
 use clock::Moment;
-use control::{DeniedKey, Proved};
+use control::{ConfirmedVersion, DeniedKey};
 use events::{Event, Refusal, emit, millis};
 use http::StatusCode;
 use tokio::sync::{Notify, watch};
@@ -82,10 +82,10 @@
     }
 
     /// What another router may take for proved of a version.
-    pub(crate) fn proved(&self, catalog: &Catalog) -> Option<Proved> {
+    pub(crate) fn proved(&self, catalog: &Catalog) -> Option<ConfirmedVersion> {
         catalog.workspaces.as_ref()?;
         let age = self.proof.borrow().age(Moment::now())?;
-        Some(Proved { version: catalog.version, age })
+        Some(ConfirmedVersion { version: catalog.version, age })
     }
 
     /// Remembers the keys that a new version takes away.
@@ -173,7 +173,7 @@
     };
     let lookup = Lookup {
         credential: arrival.credential,
-        open: route.open,
+        open: route.anonymous_allowed,
         workspaces: catalog.workspaces.as_ref(),
         revoked,
         proof: *shared.access.proof.borrow(),
--- a/components/router/src/borrow.rs
+++ b/components/router/src/borrow.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use clock::Moment;
-use control::{Borrow, Lent};
+use control::{BorrowRequest, BorrowResponse};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use http::{Request, Response, StatusCode};
@@ -52,9 +52,9 @@
         let each = (missing - lent.tokens + share.depth) / wave.len() as f64;
         lent.asked += wave.len();
         let asked = wave.into_iter().map(|router| {
-            let borrow = Borrow { workspace: workspace.clone(), tokens: each };
+            let borrow = BorrowRequest { workspace: workspace.clone(), tokens: each };
             let client = shared.client.clone();
-            async move { (router, control::ask_tokens(&client, router, &borrow, PATIENCE).await) }
+            async move { (router, control::borrow_tokens(&client, router, &borrow, PATIENCE).await) }
         });
         let mut asked: FuturesUnordered<_> = asked.collect();
         // One that does not answer is not waited for where the others have enough.
@@ -64,7 +64,7 @@
             // One that refuses connections says so at once, and may be about to start.
             quotas.note_silence(router, matches!(answer, Err(CallError::Timeout { .. })));
             match answer {
-                Ok(Lent { tokens }) => lent.tokens += tokens.max(0.0),
+                Ok(BorrowResponse { tokens }) => lent.tokens += tokens.max(0.0),
                 Err(error) => log::debug!("router: another one lent nothing: {error}"),
             }
         }
@@ -78,7 +78,7 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    let borrow: Borrow = match serde_json::from_slice(&bytes) {
+    let borrow: BorrowRequest = match serde_json::from_slice(&bytes) {
         Ok(borrow) => borrow,
         Err(error) => {
             return web::text(
@@ -95,5 +95,5 @@
         let terms = Terms::new(limit, shared.bounds());
         shared.quotas.lend(&borrow.workspace, terms, borrow.tokens)
     });
-    web::json(StatusCode::OK, &Lent { tokens: lent.unwrap_or(0.0) })
+    web::json(StatusCode::OK, &BorrowResponse { tokens: lent.unwrap_or(0.0) })
 }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -220,7 +220,7 @@
         return Found::Wake(asks);
     }
     // No loader can be asked just now.
-    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.cold);
+    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.store_load);
     Found::Later(if copied { Duration::ZERO } else { cold })
 }
 
@@ -248,7 +248,7 @@
 fn arriving(candidates: &[Candidate<'_>], wanted: &Wanted<'_>, served: Served) -> Option<Duration> {
     let model = &wanted.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
-    let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
+    let left = loads.filter(|load| load.model == *model).map(|load| load.remaining).min()?;
     (served.expect > wanted.target && left < served.expect / 2).then_some(left)
 }
 
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -50,7 +50,7 @@
             let Some(load) = self.loads.remove(&key) else { continue };
             let spec = engine.and_then(|engine| engine.model(&key.1));
             if let Some(spec) = spec.filter(|_| holdings.holds(&key.1)) {
-                self.lanes.learn(now - load.since, spec.cold, load.beside);
+                self.lanes.learn(now - load.since, spec.store_load, load.beside);
             }
         }
         if let Some(loading) = current {
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{Load, State};
-use fleet::{Endpoint, Holdings, Stage};
+use control::{EndpointLoad, EndpointState};
+use fleet::{Endpoint, EndpointStage, Holdings};
 use placement::{Ahead, Candidate, Trouble};
 use quarantine::UnixMillis;
 use tokio::task::AbortHandle;
@@ -95,7 +95,7 @@
     /// Set while its entry is missing.
     pub(crate) missing: Option<Missing>,
     pub(crate) said: Said,
-    pub(crate) state: Option<(State, Instant)>,
+    pub(crate) state: Option<(EndpointState, Instant)>,
     /// Requests of this router when its loader last said how many there are of all.
     pub(crate) told: u32,
     pub(crate) running: u32,
@@ -164,7 +164,7 @@
     }
 
     /// Takes what its loader says; true if that is about a life of which nothing was known.
-    pub(crate) fn hear(&mut self, state: State, now: Instant) -> bool {
+    pub(crate) fn hear(&mut self, state: EndpointState, now: Instant) -> bool {
         let other = !self.lives(state.incarnation);
         if other && state.incarnation < self.endpoint.incarnation {
             // The loader has not asked its endpoint since it started again.
@@ -184,7 +184,7 @@
     }
 
     /// Takes that its loader has nothing new to say but how busy it is; false if it has said nothing in this life.
-    pub(crate) fn hear_same(&mut self, load: Load, now: Instant) -> bool {
+    pub(crate) fn hear_same(&mut self, load: EndpointLoad, now: Instant) -> bool {
         let Some((state, heard)) = &mut self.state else { return false };
         state.load = load;
         *heard = now;
@@ -218,7 +218,7 @@
 
     /// Whether it takes new work, as far as the list, its loader and it itself say.
     pub(crate) fn stays(&self) -> bool {
-        self.endpoint.stage == Stage::Ready && !self.said.leaving
+        self.endpoint.stage == EndpointStage::Ready && !self.said.leaving
     }
 
     /// For how long it wants nothing from this router, if it said so.
@@ -229,8 +229,8 @@
 
     /// The endpoint, as other routers are told of it.
     pub(crate) fn as_told(&self) -> Endpoint {
-        let leaves = self.said.leaving && self.endpoint.stage == Stage::Ready;
-        let stage = if leaves { Stage::Draining(None) } else { self.endpoint.stage };
+        let leaves = self.said.leaving && self.endpoint.stage == EndpointStage::Ready;
+        let stage = if leaves { EndpointStage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
 
@@ -295,7 +295,7 @@
             total: self.total(),
             ahead: self.ahead.all(self.routers(), now),
             failures: self.trouble.failures(now),
-            room: state.map_or(Duration::ZERO, |state| state.room),
+            room: state.map_or(Duration::ZERO, |state| state.room_wait),
             waiting: state.map_or(0, |state| state.load.waiting),
             able,
         }
@@ -308,7 +308,9 @@
 
     /// Whether its loader can be asked for models.
     pub(crate) fn able(&self, now: Instant) -> bool {
-        self.state.as_ref().is_some_and(|(state, heard)| state.able && now - *heard < self.fresh())
+        self.state
+            .as_ref()
+            .is_some_and(|(state, heard)| state.can_order && now - *heard < self.fresh())
     }
 }
 
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the lives of an endpoint.
 
-use fleet::Held;
+use fleet::LoadedModel;
 use units::Revision;
 
 use super::*;
@@ -13,27 +13,28 @@
         addr: ([10, 0, 0, 1], 80).into(),
         domain: "near".parse().expect("a domain"),
         slots: 16,
-        stage: Stage::Ready,
+        stage: EndpointStage::Ready,
         holdings: Some(holding(&["a"])),
     }
 }
 
 fn holding(models: &[&str]) -> Holdings {
-    let held = |name: &&str| Held { model: name.parse().expect("a name"), adapters: Vec::new() };
+    let held =
+        |name: &&str| LoadedModel { model: name.parse().expect("a name"), adapters: Vec::new() };
     Holdings { models: models.iter().map(held).collect(), ..Holdings::default() }
 }
 
-fn state(life: u64, models: &[&str]) -> State {
-    State {
+fn state(life: u64, models: &[&str]) -> EndpointState {
+    EndpointState {
         version: 1,
         endpoint: None,
         incarnation: Some(EndpointIncarnation(life)),
         holdings: holding(models),
-        load: Load { waiting: 0, running: 7, routers: 2 },
-        room: Duration::ZERO,
-        able: true,
+        load: EndpointLoad { waiting: 0, running: 7, routers: 2 },
+        room_wait: Duration::ZERO,
+        can_order: true,
         draining: false,
-        engine: Revision(1),
+        engine_version: Revision(1),
     }
 }
 
@@ -70,7 +71,7 @@
 async fn a_loader_tells_of_a_new_life_before_the_list_does() {
     let now = Instant::now();
     let mut peer = troubled(now);
-    assert!(peer.hear(State { load: Load::default(), ..state(200, &["c"]) }, now));
+    assert!(peer.hear(EndpointState { load: EndpointLoad::default(), ..state(200, &["c"]) }, now));
     assert_new(&peer, now);
     assert!(peer.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
     // The list still shows the earlier life, and then the new one.
@@ -97,7 +98,7 @@
     // The endpoint's clock was set back between its lives.
     assert!(peer.list(entry(50), now));
     assert_new(&peer, now);
-    assert!(!peer.hear(State { load: Load::default(), ..state(50, &["c"]) }, now));
+    assert!(!peer.hear(EndpointState { load: EndpointLoad::default(), ..state(50, &["c"]) }, now));
     assert!(peer.able(now));
 }
 
@@ -106,7 +107,7 @@
     let now = Instant::now();
     let mut peer = troubled(now);
     assert!(!peer.list(Endpoint { incarnation: None, ..entry(0) }, now));
-    assert!(!peer.hear(State { incarnation: None, ..state(0, &["a"]) }, now));
+    assert!(!peer.hear(EndpointState { incarnation: None, ..state(0, &["a"]) }, now));
     assert_eq!((peer.endpoint.incarnation, peer.running), (Some(EndpointIncarnation(100)), 5));
 }
 
@@ -115,7 +116,7 @@
     let now = Instant::now();
     let mut peer = troubled(now);
     let later = now + FRESH;
-    let load = Load { waiting: 1, running: 9, routers: 3 };
+    let load = EndpointLoad { waiting: 1, running: 9, routers: 3 };
     assert!(peer.hear_same(load, later));
     assert!(peer.able(later));
     assert_eq!((peer.routers(), peer.candidate(true, later).waiting), (3, 1));
@@ -135,7 +136,7 @@
     assert!(!peer.stays(), "a loader that knows less");
     peer.list(Endpoint { addr: ([10, 0, 0, 2], 80).into(), ..entry(100) }, now);
     assert!(!peer.stays(), "it has moved");
-    assert_eq!(peer.as_told().stage, Stage::Draining(None));
+    assert_eq!(peer.as_told().stage, EndpointStage::Draining(None));
     peer.list(entry(200), now);
     assert!(peer.stays(), "another life");
 }
@@ -164,7 +165,7 @@
 async fn a_loader_that_no_longer_says_that_its_endpoint_leaves_does_not_take_it_back() {
     let now = Instant::now();
     let mut peer = troubled(now);
-    peer.hear(State { draining: true, ..state(100, &["a"]) }, now);
+    peer.hear(EndpointState { draining: true, ..state(100, &["a"]) }, now);
     peer.hear(state(100, &["a"]), now);
     assert!(!peer.stays());
     peer.hear(state(200, &[]), now);
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -7,7 +7,7 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use fleet::Change;
+use fleet::EndpointChange;
 use platform::{Batch, Follower, News, Store, StoreError, Topic};
 use tokio::time::Instant;
 use units::{Revision, Span};
@@ -241,14 +241,14 @@
     for news in batch.news {
         match news {
             News::Member(change) => {
-                if let Change::Seen(endpoint) = &change {
+                if let EndpointChange::Listed(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
             News::Foreign(key, cause) => {
                 // It may stand where an endpoint was.
-                changes.extend(key.parse().map(Change::Gone));
+                changes.extend(key.parse().map(EndpointChange::Removed));
                 if foreign.len() < FOREIGN && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use control::{Kept, Suspect};
+use control::{KeyedRecord, Suspect};
 use events::{Event, emit};
 use quarantine::{
     Crash, CrashTable, Digest, Evidence, QuarantineRecord, Release, SuspicionLevel, UnixMillis,
@@ -43,7 +43,7 @@
     turns: HashSet<Digest>,
     /// Lives of endpoints that may have ended.
     examined: Vec<Arc<Pool>>,
-    recent: VecDeque<Kept>,
+    recent: VecDeque<KeyedRecord>,
     /// When an endpoint ended last, as far as this router has heard.
     heard: Option<Instant>,
 }
@@ -65,7 +65,7 @@
     /// Told when an endpoint may have ended: others may know more.
     pub(crate) alarm: Notify,
     /// Records of this router, to be written.
-    write: mpsc::UnboundedSender<Kept>,
+    write: mpsc::UnboundedSender<KeyedRecord>,
     router: String,
 }
 
@@ -115,7 +115,7 @@
 
 impl Guard {
     /// A guard that knows nothing; what it has to write comes out of the other end.
-    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let (write, written) = mpsc::unbounded_channel();
         let (state, changed, alarm) = Default::default();
         (Self { state, changed, alarm, write, router }, written)
@@ -228,7 +228,7 @@
         if weighs {
             return self.tell(note);
         }
-        self.take(&[Kept { key: note.key(&self.router), note }]);
+        self.take(&[KeyedRecord { key: note.key(&self.router), record: note }]);
     }
 
     /// Lets a request go; false if it is no suspect.
@@ -242,31 +242,31 @@
 
     /// Takes a record of this router's own and has it written.
     pub(crate) fn tell(&self, note: QuarantineRecord) {
-        let kept = Kept { key: note.key(&self.router), note };
+        let kept = KeyedRecord { key: note.key(&self.router), record: note };
         self.take(std::slice::from_ref(&kept));
         let _ = self.write.send(kept);
     }
 
     /// Has a record written that another router told of.
-    pub(crate) fn write(&self, kept: Kept) {
+    pub(crate) fn write(&self, kept: KeyedRecord) {
         let _ = self.write.send(kept);
     }
 
     /// Takes records, and returns those that say something new.
-    pub(crate) fn take(&self, all: &[Kept]) -> Vec<Kept> {
+    pub(crate) fn take(&self, all: &[KeyedRecord]) -> Vec<KeyedRecord> {
         let now = stamp();
         let mut state = self.lock();
         let before: HashSet<Digest> = state.table.suspects().map(|(digest, _)| *digest).collect();
         let known: HashSet<&String> = state.recent.iter().map(|kept| &kept.key).collect();
-        let fresh: Vec<Kept> = all
+        let fresh: Vec<KeyedRecord> = all
             .iter()
-            .filter(|kept| !known.contains(&kept.key) && !CrashTable::is_expired(&kept.note, now))
+            .filter(|kept| !known.contains(&kept.key) && !CrashTable::is_expired(&kept.record, now))
             .cloned()
             .collect();
-        if state.table.apply(all.iter().map(|kept| &kept.note), now) == 0 {
+        if state.table.apply(all.iter().map(|kept| &kept.record), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|kept| matches!(kept.note, QuarantineRecord::Crash(_))) {
+        if fresh.iter().any(|kept| matches!(kept.record, QuarantineRecord::Crash(_))) {
             state.heard = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
@@ -285,7 +285,7 @@
     }
 
     /// What this router knows of late.
-    pub(crate) fn recent(&self) -> Vec<Kept> {
+    pub(crate) fn recent(&self) -> Vec<KeyedRecord> {
         self.lock().recent.iter().cloned().collect()
     }
 
@@ -304,7 +304,7 @@
         let state = self.lock();
         let suspect = |(digest, ends): (&Digest, &[Evidence])| Suspect {
             digest: *digest,
-            ends: ends.to_vec(),
+            crashes: ends.to_vec(),
         };
         state.table.suspects().map(suspect).collect()
     }
--- a/components/router/src/known.rs
+++ b/components/router/src/known.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use control::{Load, State, Use};
+use control::{EndpointLoad, EndpointState, ModelUse};
 use events::{Event, emit, millis};
 use fleet::Tier;
 use placement::{Demand, Pressure};
@@ -74,7 +74,7 @@
     }
 
     /// Takes what a loader says.
-    pub(crate) fn heard(&self, id: &EndpointId, state: State, engine: Option<&Engine>) {
+    pub(crate) fn heard(&self, id: &EndpointId, state: EndpointState, engine: Option<&Engine>) {
         let now = Instant::now();
         let mut peers = self.lock();
         let stayed = peers.map.get(id).is_some_and(Peer::stays);
@@ -94,7 +94,7 @@
 
     /// Takes that a loader has nothing new to say but how busy its endpoint is; false if nothing is known from it that
     /// could be the same.
-    pub(crate) fn same(&self, id: &EndpointId, load: Load) -> bool {
+    pub(crate) fn same(&self, id: &EndpointId, load: EndpointLoad) -> bool {
         let mut peers = self.lock();
         let same = peers.map.get_mut(id).is_some_and(|peer| peer.hear_same(load, Instant::now()));
         drop(peers);
@@ -282,7 +282,7 @@
     }
 
     /// What is told to a loader: how its models are used.
-    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<Use>> {
+    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<ModelUse>> {
         let peer = self.map.get_mut(id)?;
         let held: Vec<ModelName> = peer.holdings(now).map_or_else(Vec::new, |holdings| {
             holdings.models.iter().map(|held| held.model.clone()).collect()
@@ -292,7 +292,7 @@
             if running > 0 {
                 peer.uses.insert(model.clone(), Usage { begun: 0, running });
             }
-            (begun > 0 || running > 0).then_some(Use { model, begun, running })
+            (begun > 0 || running > 0).then_some(ModelUse { model, begun, running })
         });
         Some(uses.collect())
     }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control::{Kept, LetGo};
+use control::{KeyedRecord, ReleaseRequest};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
 use platform::{Follower, News, Put, Store, StoreError, Topic};
@@ -82,7 +82,7 @@
             |news| matches!(news, News::Own(other, value) if other == key && !value.is_empty()),
         )
     };
-    let missing: Vec<Kept> =
+    let missing: Vec<KeyedRecord> =
         shared.guard.recent().into_iter().filter(|kept| !there(&kept.key)).collect();
     if missing.is_empty() {
         return;
@@ -113,7 +113,7 @@
         }
         match serde_json::from_slice(&value) {
             Ok(note) if CrashTable::is_expired(&note, now) => stale.push(key),
-            Ok(note) => all.push(Kept { key, note }),
+            Ok(note) => all.push(KeyedRecord { key, record: note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be read: {error}");
                 emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
@@ -146,12 +146,12 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     store: Store,
-    mut records: mpsc::UnboundedReceiver<Kept>,
+    mut records: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(kept) = records.recv().await {
-        let value = serde_json::to_vec(&kept.note).unwrap_or_default();
+        let value = serde_json::to_vec(&kept.record).unwrap_or_default();
         while let Err(error) = store.put(Topic::Ends, &kept.key, &value, None).await {
-            if error.is_final() || CrashTable::is_expired(&kept.note, stamp()) {
+            if error.is_final() || CrashTable::is_expired(&kept.record, stamp()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -169,7 +169,7 @@
     let known = shared.guard.recent();
     let asked = shared.other_routers().into_iter().map(|router| {
         let (client, known) = (shared.client.clone(), known.clone());
-        async move { control::exchange_ends(&client, router, &known, PATIENCE).await }
+        async move { control::exchange_crash_records(&client, router, &known, PATIENCE).await }
     });
     for told in futures_util::future::join_all(asked).await {
         match told {
@@ -189,7 +189,7 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<Vec<Kept>>(&bytes) {
+    match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(told) => {
             for kept in shared.guard.take(&told) {
                 // The other one may not reach the store.
@@ -209,11 +209,11 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<LetGo>(&bytes) {
-        Ok(LetGo { digest }) if shared.guard.release(&digest) => {
-            web::json(StatusCode::OK, &LetGo { digest })
+    match serde_json::from_slice::<ReleaseRequest>(&bytes) {
+        Ok(ReleaseRequest { digest }) if shared.guard.release(&digest) => {
+            web::json(StatusCode::OK, &ReleaseRequest { digest })
         }
-        Ok(LetGo { digest }) => web::text(
+        Ok(ReleaseRequest { digest }) => web::text(
             StatusCode::NOT_FOUND,
             format!("{digest} is no suspect here; `hyssopctl suspects` lists them\n"),
         ),
@@ -236,6 +236,6 @@
             return None;
         }
     }
-    shared.guard.take(&[Kept { key, note }]);
+    shared.guard.take(&[KeyedRecord { key, record: note }]);
     shared.guard.try_once(digest)
 }
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -7,7 +7,7 @@
 
 use control::{Position, Snapshot};
 use events::{Event, emit};
-use fleet::{Change, Endpoint, Stage};
+use fleet::{Endpoint, EndpointChange, EndpointStage};
 use tokio::time::Instant;
 use units::{EndpointId, StorePosition};
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Listed {
     /// They, oldest first.
-    pub(crate) changes: Vec<Change>,
+    pub(crate) changes: Vec<EndpointChange>,
     /// Whether what is not among them is gone.
     pub(crate) whole: bool,
     /// Up to where the list has been read with them.
@@ -29,17 +29,17 @@
 }
 
 /// Leaves out the entries of servers whose address a later entry has: they live no more, and are listed until they lapse.
-fn newest_at_each_address(mut changes: Vec<Change>) -> Vec<Change> {
+fn newest_at_each_address(mut changes: Vec<EndpointChange>) -> Vec<EndpointChange> {
     let holders: HashMap<SocketAddr, EndpointId> = changes
         .iter()
         .filter_map(|change| match change {
-            Change::Seen(endpoint) => Some((endpoint.addr, endpoint.id.clone())),
-            Change::Gone(_) => None,
+            EndpointChange::Listed(endpoint) => Some((endpoint.addr, endpoint.id.clone())),
+            EndpointChange::Removed(_) => None,
         })
         .collect();
     changes.retain(|change| match change {
-        Change::Seen(endpoint) => holders.get(&endpoint.addr) == Some(&endpoint.id),
-        Change::Gone(_) => true,
+        EndpointChange::Listed(endpoint) => holders.get(&endpoint.addr) == Some(&endpoint.id),
+        EndpointChange::Removed(_) => true,
     });
     changes
 }
@@ -57,17 +57,18 @@
         let changes = newest_at_each_address(news.changes);
         let mut gone = BTreeSet::new();
         if news.whole {
-            let seen: HashSet<&EndpointId> = changes.iter().filter_map(Change::seen).collect();
+            let seen: HashSet<&EndpointId> =
+                changes.iter().filter_map(EndpointChange::listed).collect();
             gone.extend(peers.map.keys().filter(|id| !seen.contains(id)).cloned());
         }
         for change in changes {
             match change {
-                Change::Seen(endpoint) => {
+                EndpointChange::Listed(endpoint) => {
                     // It may have lapsed and come back within one read.
                     gone.remove(&endpoint.id);
                     peers.see(*endpoint, news.read, now);
                 }
-                Change::Gone(id) => {
+                EndpointChange::Removed(id) => {
                     gone.insert(id);
                 }
             }
@@ -89,7 +90,7 @@
     /// Takes what another router knows of the list, unless this one has read further. Returns what is to be asked, since its
     /// entry is missing.
     pub(crate) fn told(&self, snapshot: Snapshot) -> Option<Vec<EndpointId>> {
-        let Snapshot { endpoints, kept, missing, read, .. } = snapshot;
+        let Snapshot { endpoints, unchanged: kept, missing, read, .. } = snapshot;
         let mut peers = self.lock();
         if peers.listed && read <= peers.read {
             return None;
@@ -133,9 +134,9 @@
             catalog: None,
             missing: missing.map(id).collect(),
             endpoints: news.into_iter().map(Peer::as_told).collect(),
-            kept: kept.into_iter().map(id).collect(),
+            unchanged: kept.into_iter().map(id).collect(),
             read: peers.read,
-            proved: None,
+            confirmed: None,
         })
     }
 
@@ -172,7 +173,7 @@
         for id in same_addr {
             self.remove(&id, "another endpoint has its address");
         }
-        let stage = if endpoint.stage == Stage::Ready { "ready" } else { "draining" };
+        let stage = if endpoint.stage == EndpointStage::Ready { "ready" } else { "draining" };
         let id = endpoint.id.clone();
         let addr = endpoint.addr.to_string();
         let said = self.said(&id, endpoint.incarnation);
@@ -192,7 +193,7 @@
         if let Some(peer) = self.map.get_mut(&id) {
             peer.read = read;
         }
-        if before.is_none_or(|before| (before == Stage::Ready) != (stage == "ready")) {
+        if before.is_none_or(|before| (before == EndpointStage::Ready) != (stage == "ready")) {
             emit(&Event::Member { endpoint: id.as_str(), addr, stage, cause: "" });
         }
     }
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -13,7 +13,7 @@
     format!("i-{number}").parse().expect("an id")
 }
 
-fn entry(number: usize, port: u16, stage: Stage) -> Endpoint {
+fn entry(number: usize, port: u16, stage: EndpointStage) -> Endpoint {
     Endpoint {
         id: id(number),
         incarnation: None,
@@ -30,45 +30,45 @@
     u16::try_from(number).expect("a port")
 }
 
-fn seen(number: usize, stage: Stage) -> Change {
-    Change::Seen(Box::new(entry(number, own_port(number), stage)))
+fn seen(number: usize, stage: EndpointStage) -> EndpointChange {
+    EndpointChange::Listed(Box::new(entry(number, own_port(number), stage)))
 }
 
 fn at(offset: u64) -> StorePosition {
     StorePosition { offset: Offset(offset), ..StorePosition::default() }
 }
 
-fn news(read: u64, changes: Vec<Change>) -> Listed {
+fn news(read: u64, changes: Vec<EndpointChange>) -> Listed {
     Listed { changes, whole: false, read: at(read) }
 }
 
-fn whole(read: u64, changes: Vec<Change>) -> Listed {
+fn whole(read: u64, changes: Vec<EndpointChange>) -> Listed {
     Listed { whole: true, ..news(read, changes) }
 }
 
 /// What a router would use.
-fn stages(known: &Known) -> BTreeMap<EndpointId, Stage> {
+fn stages(known: &Known) -> BTreeMap<EndpointId, EndpointStage> {
     let peers = known.lock();
     peers.map.iter().map(|(id, peer)| (id.clone(), peer.endpoint.stage)).collect()
 }
 
 /// The list after so many records.
-fn fold(records: &[Change]) -> BTreeMap<EndpointId, Stage> {
+fn fold(records: &[EndpointChange]) -> BTreeMap<EndpointId, EndpointStage> {
     let mut list = BTreeMap::new();
     for record in records {
         match record {
-            Change::Seen(endpoint) => list.insert(endpoint.id.clone(), endpoint.stage),
-            Change::Gone(id) => list.remove(id),
+            EndpointChange::Listed(endpoint) => list.insert(endpoint.id.clone(), endpoint.stage),
+            EndpointChange::Removed(id) => list.remove(id),
         };
     }
     list
 }
 
-fn record() -> impl Strategy<Value = Change> {
+fn record() -> impl Strategy<Value = EndpointChange> {
     (0..IDS, 0..3).prop_map(|(number, kind)| match kind {
-        0 => seen(number, Stage::Ready),
-        1 => seen(number, Stage::Draining(None)),
-        _ => Change::Gone(id(number)),
+        0 => seen(number, EndpointStage::Ready),
+        1 => seen(number, EndpointStage::Draining(None)),
+        _ => EndpointChange::Removed(id(number)),
     })
 }
 
@@ -91,7 +91,7 @@
     })
 }
 
-fn read_to(known: &Known, records: &[Change], end: usize) {
+fn read_to(known: &Known, records: &[EndpointChange], end: usize) {
     let from = usize::try_from(known.lock().read.offset.0).expect("short");
     if from <= end {
         let _ = known.apply(news(end as u64, records[from..end].to_vec()), None);
@@ -142,18 +142,18 @@
 #[tokio::test(start_paused = true)]
 async fn what_may_only_have_lapsed_is_told_as_missing() {
     let (known, other) = (Known::default(), Known::default());
-    let ready = || vec![seen(0, Stage::Ready), seen(1, Stage::Ready)];
+    let ready = || vec![seen(0, EndpointStage::Ready), seen(1, EndpointStage::Ready)];
     let until = Instant::now() + LAPSE;
     for router in [&known, &other] {
         assert!(router.apply(whole(2, ready()), None).is_empty());
     }
-    assert_eq!(known.apply(news(3, vec![Change::Gone(id(0))]), Some(until)), [id(0)]);
+    assert_eq!(known.apply(news(3, vec![EndpointChange::Removed(id(0))]), Some(until)), [id(0)]);
     let have = Position { read: at(2), ..Position::default() };
     let snapshot = known.tell(have).expect("it has read the list");
     assert_eq!(other.told(snapshot), Some(vec![id(0)]), "it is to be asked here too");
     assert!(other.missing_until(&id(0)).is_some());
     // Its entry is back.
-    let _ = other.apply(news(4, vec![seen(0, Stage::Ready)]), None);
+    let _ = other.apply(news(4, vec![seen(0, EndpointStage::Ready)]), None);
     assert_eq!(other.missing_until(&id(0)), None);
 }
 
@@ -162,8 +162,8 @@
     let known = Known::default();
     let both = || {
         vec![
-            Change::Seen(Box::new(entry(9, 80, Stage::Ready))),
-            Change::Seen(Box::new(entry(1, 80, Stage::Ready))),
+            EndpointChange::Listed(Box::new(entry(9, 80, EndpointStage::Ready))),
+            EndpointChange::Listed(Box::new(entry(1, 80, EndpointStage::Ready))),
         ]
     };
     let _ = known.apply(whole(2, both()), None);
@@ -178,15 +178,15 @@
 async fn an_entry_that_is_back_is_not_missing_also_if_it_tells_of_an_earlier_life() {
     let known = Known::default();
     let until = Instant::now() + LAPSE;
-    let _ = known.apply(whole(1, vec![seen(0, Stage::Ready)]), None);
-    let _ = known.apply(news(2, vec![Change::Gone(id(0))]), Some(until));
+    let _ = known.apply(whole(1, vec![seen(0, EndpointStage::Ready)]), None);
+    let _ = known.apply(news(2, vec![EndpointChange::Removed(id(0))]), Some(until));
     known.lock().map.get_mut(&id(0)).expect("known").endpoint.incarnation =
         Some(units::EndpointIncarnation(200));
     let entry = Endpoint {
         incarnation: Some(units::EndpointIncarnation(100)),
-        ..entry(0, 0, Stage::Ready)
+        ..entry(0, 0, EndpointStage::Ready)
     };
-    let _ = known.apply(news(3, vec![Change::Seen(Box::new(entry))]), None);
+    let _ = known.apply(news(3, vec![EndpointChange::Listed(Box::new(entry))]), None);
     assert_eq!(known.missing_until(&id(0)), None);
 }
 
@@ -194,10 +194,10 @@
 async fn an_entry_that_lapsed_and_came_back_within_one_read_is_there() {
     let known = Known::default();
     let until = Instant::now() + LAPSE;
-    let _ = known.apply(whole(1, vec![seen(0, Stage::Ready)]), None);
-    let back = vec![Change::Gone(id(0)), seen(0, Stage::Ready)];
+    let _ = known.apply(whole(1, vec![seen(0, EndpointStage::Ready)]), None);
+    let back = vec![EndpointChange::Removed(id(0)), seen(0, EndpointStage::Ready)];
     for until in [None, Some(until)] {
         assert!(known.apply(news(3, back.clone()), until).is_empty());
-        assert_eq!(stages(&known), BTreeMap::from([(id(0), Stage::Ready)]));
+        assert_eq!(stages(&known), BTreeMap::from([(id(0), EndpointStage::Ready)]));
     }
 }
--- a/components/router/src/peer.rs
+++ b/components/router/src/peer.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{EngineNews, Ensure, Loader, Poll, Polled, Verdict};
+use control::{
+    EngineUpdate, EnsureOutcome, EnsureRequest, LoaderClient, PollRequest, PollResponse,
+};
 use events::{Dependency, Event, NO_ROOM, emit, millis};
 use tokio::time::Instant;
 use units::{EndpointId, Revision, ServiceName};
@@ -67,7 +69,7 @@
         let router = shared.instance.clone();
         let wait = if leaving { DRAIN_WAIT } else { calm };
         let (endpoint, era) = (id.clone(), shared.store.era());
-        let poll = Poll { router, endpoint, incarnation: life, era, seen, wait, uses };
+        let poll = PollRequest { router, endpoint, incarnation: life, era, seen, wait, uses };
         match loader.poll(&poll).await {
             Ok(polled) => {
                 if let Some(since) = lost.take() {
@@ -77,13 +79,13 @@
                 }
                 pause = RETRY;
                 match polled {
-                    Polled::News(state) => {
+                    PollResponse::Changed(state) => {
                         seen = state.version;
-                        unaware = state.engine == Revision(0);
-                        leaving = !state.holdings.leaving.is_empty();
+                        unaware = state.engine_version == Revision(0);
+                        leaving = !state.holdings.evicting.is_empty();
                         shared.heard(&id, *state);
                     }
-                    Polled::Same(load) => {
+                    PollResponse::Unchanged(load) => {
                         if !shared.known.same(&id, load) {
                             // What it held is forgotten since: it may have started again.
                             seen = 0;
@@ -116,13 +118,13 @@
 }
 
 /// Tells a loader what its endpoint can hold, if that is known here.
-async fn tell_engine(shared: &Shared, loader: &Loader, service: &ServiceName) {
+async fn tell_engine(shared: &Shared, loader: &LoaderClient, service: &ServiceName) {
     let Some(catalog) = shared.current() else { return };
     let Some(engine) = catalog.service(service).and_then(|service| service.engine.clone()) else {
         return;
     };
-    let news = EngineNews { version: catalog.version, engine };
-    if let Err(error) = loader.engine(&news).await {
+    let news = EngineUpdate { version: catalog.version, engine };
+    if let Err(error) = loader.update_engine(&news).await {
         log::debug!("router: a loader did not take the engine: {error}");
     }
 }
@@ -157,7 +159,7 @@
         expect_ms: millis(wish.expect),
         cause: if wish.urgent { "request" } else { "prepared" },
     });
-    let ensure = Ensure {
+    let ensure = EnsureRequest {
         router: shared.instance.clone(),
         endpoint: id.clone(),
         target: target.clone(),
@@ -181,16 +183,16 @@
     pub(crate) cold: bool,
 }
 
-async fn ask(shared: Arc<Shared>, addr: SocketAddr, ensure: Ensure) {
+async fn ask(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
     let ensured = shared.loader(addr).ensure(&ensure).await;
     let (pause, cause) = match &ensured {
-        Ok(ensured) => match ensured.verdict {
-            Verdict::Ready => (Duration::ZERO, String::new()),
-            Verdict::Refused(after) => (after, NO_ROOM.to_owned()),
+        Ok(ensured) => match ensured.outcome {
+            EnsureOutcome::Ready => (Duration::ZERO, String::new()),
+            EnsureOutcome::Refused(after) => (after, NO_ROOM.to_owned()),
         },
         Err(error) => (AGAIN, error.to_string()),
     };
-    let Ensure { endpoint: id, target, .. } = ensure;
+    let EnsureRequest { endpoint: id, target, .. } = ensure;
     if !pause.is_zero() {
         emit(&Event::Declined {
             model: &target.to_string(),
--- a/components/router/src/prepare.rs
+++ b/components/router/src/prepare.rs
@@ -24,7 +24,7 @@
         for service in catalog.services() {
             let Some(engine) = &service.engine else { continue };
             for (model, id) in missing(&shared, &service.name, engine) {
-                let expect = engine.model(&model).map_or(Duration::ZERO, |spec| spec.cold);
+                let expect = engine.model(&model).map_or(Duration::ZERO, |spec| spec.store_load);
                 let wish = Wish { urgent: false, within: expect * PATIENCE, expect, cold: true };
                 peer::want(&shared, &id, &ModelId { model, adapter: None }, wish);
             }
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -22,7 +22,7 @@
     let bound = shared.settings.borrow().bounds.revoke;
     catalog.workspaces.is_none()
         || shared.access.holds(bound)
-        || catalog.routes().any(|route| route.open)
+        || catalog.routes().any(|route| route.anonymous_allowed)
 }
 
 /// Answers the balancer.
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -195,7 +195,7 @@
     let mut pace = Pace::default();
     let cause = loop {
         let elsewhere = resumable && flight.runs < flight.route.attempts;
-        let patience = elsewhere.then(|| flight.route.patience / STALL);
+        let patience = elsewhere.then(|| flight.route.event_timeout / STALL);
         let loss = match hear(&mut answer, &writer, patience, flight.due).await {
             Heard::Left => return times.left(),
             Heard::Late => break "the time of the request is over".to_owned(),
@@ -219,13 +219,15 @@
                 }
                 let _ = writer.finish().await;
                 times.answered(status, &pace, true);
-                flight.shared.known.streamed(pace.gap > flight.route.pause);
+                flight.shared.known.streamed(pace.gap > flight.route.max_pause);
                 flight.outlived();
                 return answer.keep();
             }
             // A long prompt of another request silences it too: it is left only for an endpoint that goes on before
             // the caller leaves, or the stream would be lost while its endpoint is at work on it.
-            Heard::Silence if flight.may_leave(&answer.place.id, flight.route.patience / 2) => {
+            Heard::Silence
+                if flight.may_leave(&answer.place.id, flight.route.event_timeout / 2) =>
+            {
                 Loss::Still
             }
             Heard::Silence => continue,
@@ -262,7 +264,7 @@
             flight.broken(id, cause).ok()?;
         }
     }
-    flight.start = flight.due.min(Instant::now() + flight.route.patience / 2);
+    flight.start = flight.due.min(Instant::now() + flight.route.event_timeout / 2);
     let next = flight.answer(last).await.ok()?;
     flight.step(Step::Resumed, &next.place.id, "");
     next.head.status.is_success().then_some(next)
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -98,12 +98,12 @@
     let call = platform::read_call(&parts).map_err(|_| malformed())?;
     let Entry { catalog, route, identity } = enter(shared, &call, &parts, times).await?;
     let service = route
-        .backend(rand::random())
+        .choose_service(rand::random())
         .cloned()
         .ok_or_else(|| own(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoEndpoint, None))?;
     let left = call.deadline.unwrap_or(LONGEST).min(route.timeout);
     let due = times.arrived + left.saturating_sub(MARGIN);
-    let start = due.min(times.arrived + route.patience.saturating_sub(FIRST_EVENT));
+    let start = due.min(times.arrived + route.event_timeout.saturating_sub(FIRST_EVENT));
     times.until = times.arrived + left;
     times.class = route.class();
     emit(&Event::Accepted {
@@ -114,7 +114,7 @@
         model: &call.model.as_ref().map(ToString::to_string).unwrap_or_default(),
         left_ms: millis(left),
         target_ms: millis(route.target),
-        pause_ms: millis(route.pause),
+        pause_ms: millis(route.max_pause),
     });
     shared.count(&service);
     let charge = match identity.workspace() {
@@ -124,7 +124,7 @@
         }
         None => None,
     };
-    let read = tokio::time::timeout_at(due, web::read(body, catalog.limits.body)).await;
+    let read = tokio::time::timeout_at(due, web::read(body, catalog.limits.body_bytes)).await;
     let Ok(read) = read else {
         return Err(own(StatusCode::REQUEST_TIMEOUT, Refusal::TimedOut, None));
     };
--- a/components/router/src/run.rs
+++ b/components/router/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use control::{
-    ENDS_PATH, RELEASE_PATH, SNAPSHOT_PATH, SUSPECTS_PATH, TOKENS_PATH, WORKSPACES_PATH,
+    CRASHES_PATH, RELEASE_PATH, SNAPSHOT_PATH, SUSPECTS_PATH, TOKENS_PATH, WORKSPACES_PATH,
 };
 use events::{Event, emit};
 use http::{Method, Request, Response, StatusCode};
@@ -63,7 +63,7 @@
 async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, SNAPSHOT_PATH) => snapshot::answer(shared, request.uri()),
-        (&Method::POST, ENDS_PATH) => ledger::answer(shared, request).await,
+        (&Method::POST, CRASHES_PATH) => ledger::answer(shared, request).await,
         (&Method::POST, TOKENS_PATH) => borrow::lend(shared, request).await,
         (&Method::GET, WORKSPACES_PATH) => match quotas::report(shared) {
             Some(report) => web::json(StatusCode::OK, &report),
--- a/components/router/src/serve.rs
+++ b/components/router/src/serve.rs
@@ -64,8 +64,10 @@
 async fn connection(shared: Arc<Shared>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
     let caller = Caller::new(stream);
     let limits = shared.current().map(|catalog| catalog.limits.clone());
-    let idle = limits.as_ref().map_or(IDLE, |limits| limits.idle.max(limits.patience));
-    let header = limits.as_ref().map_or(BUFFER_LEAST, |limits| limits.header.max(BUFFER_LEAST));
+    let idle =
+        limits.as_ref().map_or(IDLE, |limits| limits.idle_timeout.max(limits.header_timeout));
+    let header =
+        limits.as_ref().map_or(BUFFER_LEAST, |limits| limits.header_bytes.max(BUFFER_LEAST));
     let service = service_fn(|request| {
         let answer = request::answer(shared.clone(), caller.clone(), request);
         async move { Ok::<_, Infallible>(answer.await) }
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -7,7 +7,7 @@
 
 use admission::{Repeat, RepeatLimits, Repeats};
 use catalog::Catalog;
-use control::{Kept, Loader, Position, State};
+use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
 use process::{Pulse, Shutdown, Single};
@@ -104,7 +104,7 @@
 
 impl Shared {
     /// With the records that the guard has to write.
-    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let settings = process.settings.borrow().clone();
         let (guard, records) = Guard::new(settings.instance.to_string());
         let shared = Self {
@@ -205,13 +205,13 @@
     }
 
     /// A client of the loader on the machine of an endpoint.
-    pub(crate) fn loader(&self, endpoint: std::net::SocketAddr) -> Loader {
+    pub(crate) fn loader(&self, endpoint: std::net::SocketAddr) -> LoaderClient {
         let addr = std::net::SocketAddr::new(endpoint.ip(), self.settings.borrow().loader);
-        Loader::new(self.client.clone(), addr)
+        LoaderClient::new(self.client.clone(), addr)
     }
 
     /// Takes what a loader says of its endpoint.
-    pub(crate) fn heard(&self, id: &EndpointId, state: State) {
+    pub(crate) fn heard(&self, id: &EndpointId, state: EndpointState) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
             let service = self.known.lock().map.get(id)?.endpoint.service.clone();
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -41,7 +41,7 @@
         return web::text(StatusCode::NO_CONTENT, "");
     }
     let catalog = (catalog.version > have.version).then(|| Catalog::clone(&catalog));
-    web::json(StatusCode::OK, &Snapshot { catalog, proved, ..told })
+    web::json(StatusCode::OK, &Snapshot { catalog, confirmed: proved, ..told })
 }
 
 /// Asks other routers for as long as this one gets nothing from the store.
@@ -68,7 +68,7 @@
     for router in routers {
         let client = shared.client.clone();
         asked.spawn(async move {
-            let snapshot = control::ask_snapshot(&client, router, have, PATIENCE).await;
+            let snapshot = control::fetch_snapshot(&client, router, have, PATIENCE).await;
             (router, snapshot)
         });
     }
@@ -82,7 +82,7 @@
 }
 
 fn take(shared: &Arc<Shared>, router: &str, mut snapshot: Snapshot, sent: Moment) {
-    let proved = snapshot.proved;
+    let proved = snapshot.confirmed;
     let endpoints = snapshot.endpoints.len();
     let catalog = snapshot.catalog.take();
     let version = catalog.as_ref().map_or(0, |catalog| catalog.version.0);
--- a/src/cmd/suspects.rs
+++ b/src/cmd/suspects.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use control::{LetGo, RELEASE_PATH, SUSPECTS_PATH, Suspect};
+use control::{RELEASE_PATH, ReleaseRequest, SUSPECTS_PATH, Suspect};
 use quarantine::Digest;
 use web::Client;
 
@@ -20,7 +20,7 @@
     writeln!(out, "suspects: {}", suspects.len())?;
     for suspect in &suspects {
         writeln!(out, "  {}", suspect.digest)?;
-        for end in &suspect.ends {
+        for end in &suspect.crashes {
             let life = end.incarnation.map_or("unknown".to_owned(), |life| life.to_string());
             writeln!(out, "    endpoint {} ended, life {life}, at {} ms", end.endpoint, end.at)?;
         }
@@ -34,8 +34,8 @@
     digest: Digest,
     out: &mut dyn Write,
 ) -> Result<Exit, CmdError> {
-    let let_go = LetGo { digest };
-    let _: LetGo = Client::default().post(router, RELEASE_PATH, &let_go, PATIENCE).await?;
+    let let_go = ReleaseRequest { digest };
+    let _: ReleaseRequest = Client::default().post(router, RELEASE_PATH, &let_go, PATIENCE).await?;
     writeln!(out, "{digest} is served again")?;
     Ok(Exit::Done)
 }
--- a/src/cmd/suspects/tests.rs
+++ b/src/cmd/suspects/tests.rs
@@ -28,10 +28,10 @@
                     at: UnixMillis(1_500),
                 };
                 let unknown = Evidence { incarnation: None, ..end.clone() };
-                let suspect = Suspect { digest: digest(), ends: vec![end, unknown] };
+                let suspect = Suspect { digest: digest(), crashes: vec![end, unknown] };
                 web::json(StatusCode::OK, &vec![suspect])
             }
-            (Method::POST, RELEASE_PATH) => match serde_json::from_slice::<LetGo>(&body) {
+            (Method::POST, RELEASE_PATH) => match serde_json::from_slice::<ReleaseRequest>(&body) {
                 Ok(let_go) if let_go.digest == digest() => web::json(StatusCode::OK, &let_go),
                 _ => web::text(StatusCode::NOT_FOUND, "no suspect here\n"),
             },
