--- a/components/catalog/src/catalog.rs
+++ b/components/catalog/src/catalog.rs
@@ -8,31 +8,31 @@
 
 use crate::{Route, Service, Workspaces};
 
-/// Bounds of what a caller may send.
+/// Limits on connections and requests of callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest header, in bytes.
+    /// The largest allowed header, in bytes.
     #[serde(rename = "header")]
     pub header_bytes: usize,
-    /// The largest body, in bytes.
+    /// The largest allowed body, in bytes.
     #[serde(rename = "body")]
     pub body_bytes: usize,
-    /// The longest time for a header to arrive.
+    /// The longest time that a header may take to arrive.
     #[serde(rename = "patience")]
     pub header_timeout: Duration,
-    /// The longest time that a connection is kept without a request.
+    /// How long a connection is kept open without a request.
     #[serde(rename = "idle")]
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Its version; versions only grow.
+    /// The version; a newer configuration has a higher one.
     pub version: Revision,
-    /// Bounds of what a caller may send.
+    /// Limits on connections and requests of callers.
     pub limits: Limits,
-    /// The workspaces; where there are none at all, requests are passed on whoever sends them.
+    /// The workspaces. Without any, requests are forwarded without a check of keys.
     #[serde(default)]
     pub workspaces: Option<Workspaces>,
     services: HashMap<ServiceName, Service>,
@@ -40,7 +40,7 @@
 }
 
 impl Catalog {
-    /// Sorts routes by host, the longest prefix first.
+    /// Creates a configuration without workspaces. The routes are grouped by host, those with the longest prefix first.
     pub fn new(
         version: Revision,
         limits: Limits,
@@ -59,29 +59,29 @@
         Self { version, limits, workspaces: None, services, hosts }
     }
 
-    /// The same with workspaces.
+    /// Returns the configuration with these workspaces.
     pub fn with_workspaces(mut self, workspaces: Workspaces) -> Self {
         self.workspaces = Some(workspaces);
         self
     }
 
-    /// The route of a host and path: the one with the longest prefix that begins the path.
+    /// The route for a host and path: of those whose prefix the path starts with, the one with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(host.to_ascii_lowercase().as_str())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by its name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.hosts.values().flatten()
     }
--- a/components/catalog/src/lib.rs
+++ b/components/catalog/src/lib.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, models, workspaces and limits, with the rule that finds a route.
+//! The configuration in force: routes, services, models, workspaces and limits, and the lookup of the route for a request.
 
 mod catalog;
 mod model;
--- a/components/catalog/src/model.rs
+++ b/components/catalog/src/model.rs
@@ -1,4 +1,4 @@
-//! Model engines and the models that they can hold.
+//! Model engines and the models that they can load.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,17 +8,17 @@
 use thiserror::Error;
 use units::{AdapterName, ModelName, ParseIdError, Size};
 
-/// A model, or one adapter of it; written as `model` or `model/adapter`.
+/// A model, or an adapter of a model; written as `model` or `model/adapter`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ModelId {
     /// The model.
     pub model: ModelName,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is named.
     pub adapter: Option<AdapterName>,
 }
 
-/// Why a text names no model.
+/// The error for a text that is not a model id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` names no model: {cause}; write `model` or `model/adapter`")]
 pub struct ParseModelError {
@@ -62,42 +62,42 @@
     }
 }
 
-/// What is known of a model before it is loaded.
+/// Sizes and load times of a model, as the configuration gives them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// Accelerator memory that its weights take.
+    /// The accelerator memory that the weights take.
     pub weights: Size,
-    /// Accelerator memory that one of its adapters takes.
+    /// The accelerator memory that one adapter of the model takes.
     pub adapter: Size,
-    /// A load from the weight store that has a lane to itself.
+    /// How long a load from the weight store takes if no other load slows it down.
     #[serde(rename = "cold")]
     pub store_load: Duration,
-    /// A load from the endpoint's disk.
+    /// How long a load from the endpoint's disk takes.
     #[serde(rename = "disk")]
     pub disk_load: Duration,
-    /// A load from the endpoint's host memory.
+    /// How long a load from the endpoint's host memory takes.
     #[serde(rename = "warm")]
     pub memory_load: Duration,
 }
 
-/// What all endpoints of a service that run models have in common.
+/// The specification of the model engines of a service. It is the same for all endpoints of the service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one endpoint runs at once.
+    /// Requests that one endpoint runs at the same time.
     pub slots: u32,
     /// Tokens that the cache of one endpoint holds.
     #[serde(rename = "tokens")]
     pub cache_tokens: u64,
-    /// Accelerator memory of one endpoint for weights and adapters.
+    /// The accelerator memory of one endpoint for weights and adapters.
     pub memory: Size,
-    /// Adapters that one endpoint holds at most.
+    /// The most adapters that one endpoint holds.
     pub adapters: u32,
-    /// Host memory of one endpoint for copies of weights.
+    /// The host memory of one endpoint for copies of weights.
     #[serde(rename = "host")]
     pub host_memory: Size,
-    /// Disk of one endpoint for copies of weights.
+    /// The disk space of one endpoint for copies of weights.
     pub disk: Size,
-    /// Loads from the weight store a second, over all endpoints.
+    /// Loads from the weight store per second, over all endpoints together.
     #[serde(rename = "rate")]
     pub load_rate: f64,
     /// The models, sorted by name.
@@ -105,7 +105,7 @@
 }
 
 impl Engine {
-    /// The model of this name.
+    /// The specification of the model with this name.
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         let found = self.models.binary_search_by(|(other, _)| other.cmp(name)).ok()?;
         Some(&self.models[found].1)
--- a/components/catalog/src/route.rs
+++ b/components/catalog/src/route.rs
@@ -7,26 +7,26 @@
 
 use crate::Engine;
 
-/// What may be done again with a request.
+/// Whether a request may be executed more than once, and whether its answer is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallKind {
-    /// It may run more than once.
+    /// The request may be executed more than once.
     Safe,
-    /// It may run once at most.
+    /// The request may be executed once at most.
     Unsafe,
-    /// A stream of events that may run once at most.
+    /// The answer is a stream of events, and the request may be executed once at most.
     Stream,
-    /// A stream of events that may go on elsewhere after the last event that arrived.
+    /// The answer is a stream of events that another endpoint can continue after the last event that arrived.
     Resumable,
 }
 
 impl CallKind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have been executed can be sent again.
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
     }
 
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub fn streams(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
@@ -37,46 +37,46 @@
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other weights of the route.
+    /// The share of the service, relative to the weights of the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// The rules for requests with a certain host and path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name of the route, for logs.
     pub name: String,
     /// The host that callers name, in lower case.
     pub host: String,
-    /// The prefix of the path, with a slash at both ends.
+    /// The path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be done again.
+    /// Whether requests may be executed more than once, and whether answers are streams.
     pub kind: CallKind,
-    /// The longest that a caller is kept waiting.
+    /// The longest time that a caller waits for the answer.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event of a stream, is worth most.
+    /// The target time for the answer, or for the first event of a stream; a later one is worth less.
     pub target: Duration,
-    /// The longest pause between two events of a stream that is on time; zero for other answers.
+    /// The target for the longest pause between two events of a stream; zero for other answers.
     #[serde(rename = "pause")]
     pub max_pause: Duration,
-    /// The longest that callers wait for the first event of a stream, or for the next one.
+    /// The longest time that callers wait for the first event of a stream, or for the next event.
     #[serde(rename = "patience")]
     pub event_timeout: Duration,
-    /// How urgent it is; 0 goes first.
+    /// The priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its requests need no key where the configuration has workspaces.
+    /// Whether requests without a key are accepted if the configuration has workspaces.
     #[serde(default)]
     #[serde(rename = "open")]
     pub anonymous_allowed: bool,
-    /// Endpoints that one request may be sent to.
+    /// The most endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Where requests go.
+    /// The services that the route leads to.
     #[serde(rename = "backends")]
     pub services: Vec<WeightedService>,
 }
 
 impl Route {
-    /// Its kind and urgency, as logs and metrics name them: `safe-2`.
+    /// The kind and priority of the route, as logs and metrics name them: `safe-2`.
     pub fn class(&self) -> String {
         let kind = match self.kind {
             CallKind::Safe => "safe",
@@ -87,7 +87,7 @@
         format!("{kind}-{}", self.priority)
     }
 
-    /// The service for a request, chosen by a number that is random in 0..1.
+    /// Chooses the service for a request by weight. `random` is a random number from 0 to 1.
     pub fn choose_service(&self, random: f64) -> Option<&ServiceName> {
         let total: u32 = self.services.iter().map(|backend| backend.weight).sum();
         let mut left = random * f64::from(total);
@@ -104,13 +104,13 @@
 /// A group of endpoints that serve the same calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// The path where an endpoint says whether it is well and stays, if there is one.
+    /// The path of the health check of an endpoint, if it has one. The answer also says whether the endpoint is draining.
     #[serde(default)]
     pub health: Option<String>,
     /// The most connections that one endpoint accepts, from all callers together.
     pub connections: u32,
-    /// The model engine of its endpoints, if they run models.
+    /// The specification of the model engines, if the endpoints of the service run models.
     pub engine: Option<Engine>,
 }
--- a/components/catalog/src/workspace.rs
+++ b/components/catalog/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: who calls, with which keys, and how much they may ask for.
+//! Workspaces: groups of callers with keys and limits.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,16 +10,16 @@
 use thiserror::Error;
 use units::WorkspaceName;
 
-const LENGTH: usize = 32;
-/// So many bytes of a digest are shown: enough to tell the keys of a deployment apart.
-const SHOWN: usize = 4;
+const DIGEST_BYTES: usize = 32;
+/// The number of bytes of a digest that are shown: enough to tell the keys of a deployment apart.
+const SHOWN_BYTES: usize = 4;
 
-/// The digest of a caller's key. The key itself is kept nowhere, so that it can't get into a log, a dump or an answer; and
-/// a comparison of digests tells nothing about it by the time that it takes.
+/// The digest of a caller's key. The key itself isn't stored, so that it can't appear in a log, a dump or an answer. The time
+/// that a comparison of digests takes reveals nothing about the key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyDigest([u8; LENGTH]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Why a text is not the digest of a key.
+/// The error for a text that is not the digest of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("a digest of a key has 64 hexadecimal digits")]
 pub struct ParseKeyError;
@@ -33,7 +33,7 @@
 
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&hex::encode(&self.0[..SHOWN]))
+        f.write_str(&hex::encode(&self.0[..SHOWN_BYTES]))
     }
 }
 
@@ -47,7 +47,7 @@
     type Err = ParseKeyError;
 
     fn from_str(text: &str) -> Result<Self, ParseKeyError> {
-        let mut bytes = [0; LENGTH];
+        let mut bytes = [0; DIGEST_BYTES];
         hex::decode_to_slice(text, &mut bytes).map_err(|_| ParseKeyError)?;
         Ok(Self(bytes))
     }
@@ -66,21 +66,21 @@
     }
 }
 
-/// What the requests of a workspace are counted in.
+/// The unit in which the requests of a workspace are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Each counts as one.
+    /// Each request counts as one unit.
     Requests,
-    /// Each counts as the tokens of its prompt and the most that it may generate.
+    /// Each request counts as the tokens of its prompt plus the most tokens that it may generate.
     Tokens {
-        /// What one counts that does not say.
+        /// The cost of a request that doesn't state its tokens.
         #[serde(rename = "plain")]
         default_cost: u32,
     },
 }
 
 impl Unit {
-    /// What a request counts that names these tokens.
+    /// The cost of a request with these numbers of prompt tokens and most generated tokens; `None` if it doesn't state them.
     pub fn cost(self, tokens: Option<(u32, u32)>) -> u32 {
         match (self, tokens) {
             (Self::Requests, _) => 1,
@@ -90,31 +90,31 @@
     }
 }
 
-/// How much a workspace may ask for, over all routers together.
+/// The rate limit of a workspace, over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units at once beyond these.
+    /// Units that may be used at once in addition to the rate.
     pub burst: f64,
 }
 
 /// A group of callers with keys and a limit of their own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name, as endpoints are told.
+    /// The name of the workspace, as endpoints receive it.
     pub name: WorkspaceName,
-    /// The digests of its callers' keys.
+    /// The digests of the callers' keys.
     pub keys: Vec<KeyDigest>,
-    /// How urgent its requests are, if it says so; this goes before what their routes say.
+    /// The priority of the workspace's requests, if it has one; it takes precedence over the priority of the route.
     pub priority: Option<u8>,
-    /// What its requests are counted in.
+    /// The unit in which the workspace's requests are counted.
     pub unit: Unit,
-    /// Its limit, if it has one.
+    /// The limit of the workspace, if it has one.
     pub limit: Option<Limit>,
 }
 
-/// The workspaces of one version of the configuration, by the keys of their callers.
+/// The workspaces of one version of the configuration, indexed by key.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<Workspace>", into = "Vec<Workspace>")]
 pub struct Workspaces {
@@ -140,22 +140,22 @@
 }
 
 impl Workspaces {
-    /// The workspace whose callers have this key.
+    /// The workspace that this key belongs to.
     pub fn holder(&self, key: &KeyDigest) -> Option<&Workspace> {
         self.holders.get(key).map(|at| &self.all[*at])
     }
 
-    /// The workspace of this name.
+    /// The workspace with this name.
     pub fn named(&self, name: &WorkspaceName) -> Option<&Workspace> {
         self.all.iter().find(|workspace| workspace.name == *name)
     }
 
-    /// All of them, in the order of the configuration.
+    /// All workspaces, in the order of the configuration.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.all.iter()
     }
 
-    /// All keys, in no order.
+    /// The digests of all keys, in no particular order.
     pub fn keys(&self) -> impl Iterator<Item = &KeyDigest> {
         self.holders.keys()
     }
--- a/components/catalog/src/workspace/tests.rs
+++ b/components/catalog/src/workspace/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn finds_the_holder_of_a_key() {
+fn a_key_is_found_in_its_workspace() {
     let all = Workspaces::from(vec![workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]);
     let holder = |key: &str| all.holder(&KeyDigest::of(key.as_bytes())).map(|w| w.name.to_string());
     assert_eq!(holder("k2").as_deref(), Some("a"));
@@ -23,23 +23,23 @@
 }
 
 #[test]
-fn shows_no_key_and_only_the_beginning_of_its_digest() {
+fn keys_are_never_shown_and_digests_only_in_part() {
     let digest = KeyDigest::of(b"a-very-secret-key");
-    assert_eq!(digest.to_string().len(), 2 * SHOWN);
+    assert_eq!(digest.to_string().len(), 2 * SHOWN_BYTES);
     let all = Workspaces::from(vec![workspace("a", &["a-very-secret-key"])]);
-    let told = format!("{all:?} {digest:?} {}", serde_json::to_string(&all).expect("JSON"));
-    assert!(!told.contains("secret"));
+    let shown = format!("{all:?} {digest:?} {}", serde_json::to_string(&all).expect("JSON"));
+    assert!(!shown.contains("secret"));
 }
 
 #[test]
-fn is_told_to_another_router_and_back() {
+fn workspaces_survive_serialization() {
     let all = Workspaces::from(vec![workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]);
     let text = serde_json::to_string(&all).expect("JSON");
     assert_eq!(serde_json::from_str::<Workspaces>(&text).expect("workspaces"), all);
 }
 
 #[test]
-fn counts_a_request_by_both_of_its_numbers() {
+fn a_request_costs_its_prompt_and_generated_tokens() {
     let unit = Unit::Tokens { default_cost: 200 };
     assert_eq!(unit.cost(Some((1_460, 80))), 1_540);
     assert_eq!(unit.cost(Some((u32::MAX, 1))), u32::MAX);
--- a/components/control/src/client.rs
+++ b/components/control/src/client.rs
@@ -1,4 +1,4 @@
-//! What routers ask.
+//! Client functions with which routers call loaders and other routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,8 +11,8 @@
     Position, SNAPSHOT_PATH, Snapshot, TOKENS_PATH,
 };
 
-/// What an answer may take beyond the time that the loader was asked to wait.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// The time that a response may take beyond the time that the loader was asked to wait.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(700);
 
 /// A client of one loader.
 #[derive(Debug, Clone)]
@@ -22,48 +22,48 @@
 }
 
 impl LoaderClient {
-    /// A client of the loader at this address.
+    /// Creates a client of the loader at this address.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
 
-    /// Asks for news.
+    /// Polls the state of the endpoint.
     pub async fn poll(&self, poll: &PollRequest) -> Result<PollResponse, CallError> {
-        self.client.post(self.addr, POLL_PATH, poll, poll.wait + PATIENCE).await
+        self.client.post(self.addr, POLL_PATH, poll, poll.wait + RESPONSE_MARGIN).await
     }
 
-    /// Asks for a model.
+    /// Asks the loader to load a model.
     pub async fn ensure(&self, ensure: &EnsureRequest) -> Result<EnsureResponse, CallError> {
-        self.client.post(self.addr, ENSURE_PATH, ensure, ensure.within + PATIENCE).await
+        self.client.post(self.addr, ENSURE_PATH, ensure, ensure.within + RESPONSE_MARGIN).await
     }
 
-    /// Says what the endpoint can hold.
-    pub async fn update_engine(&self, news: &EngineUpdate) -> Result<EndpointState, CallError> {
-        self.client.post(self.addr, ENGINE_PATH, news, PATIENCE).await
+    /// Sends the engine specification, which says what the endpoint can hold.
+    pub async fn update_engine(&self, update: &EngineUpdate) -> Result<EndpointState, CallError> {
+        self.client.post(self.addr, ENGINE_PATH, update, RESPONSE_MARGIN).await
     }
 }
 
-/// Asks another router what it knows beyond a position; `None` if that is nothing.
+/// Fetches from another router what it has read from the store beyond a position; `None` if it has read nothing newer.
 pub async fn fetch_snapshot(
     client: &Client,
     router: SocketAddr,
-    have: Position,
+    position: Position,
     limit: Duration,
 ) -> Result<Option<Snapshot>, CallError> {
-    client.get_if_any(router, &format!("{SNAPSHOT_PATH}?{have}"), limit).await
+    client.get_if_any(router, &format!("{SNAPSHOT_PATH}?{position}"), limit).await
 }
 
-/// Tells another router of ended endpoints, and returns what it knows.
+/// Sends crash records to another router, and returns the records that the other router has.
 pub async fn exchange_crash_records(
     client: &Client,
     router: SocketAddr,
-    kept: &[KeyedRecord],
+    records: &[KeyedRecord],
     limit: Duration,
 ) -> Result<Vec<KeyedRecord>, CallError> {
-    client.post(router, CRASHES_PATH, &kept, limit).await
+    client.post(router, CRASHES_PATH, &records, limit).await
 }
 
-/// Asks another router for tokens.
+/// Asks another router to lend tokens of a workspace.
 pub async fn borrow_tokens(
     client: &Client,
     router: SocketAddr,
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages among routers and between them and the loaders, over HTTP/1.1 with JSON.
+//! Messages between routers, and between routers and loaders, sent as JSON over HTTP/1.1.
 
 mod client;
 mod message;
--- a/components/control/src/message.rs
+++ b/components/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What is said.
+//! The messages and the paths to which they are sent.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,11 +11,11 @@
     EndpointId, EndpointIncarnation, Era, ModelName, Revision, StorePosition, WorkspaceName,
 };
 
-/// Where a router asks for news of an endpoint.
+/// The path at which a loader answers polls for the state of its endpoint.
 pub const POLL_PATH: &str = "/poll";
-/// Where a router asks for a model.
+/// The path at which a loader accepts requests to load a model.
 pub const ENSURE_PATH: &str = "/ensure";
-/// Where a router says what the endpoints of the service can hold.
+/// The path at which a loader accepts the engine specification of its service.
 pub const ENGINE_PATH: &str = "/engine";
 
 /// How a router uses one model of the endpoint.
@@ -23,142 +23,143 @@
 pub struct ModelUse {
     /// The model.
     pub model: ModelName,
-    /// Requests begun since the last time.
+    /// Requests started since the previous poll.
     pub begun: u32,
-    /// Requests that run now.
+    /// Requests running now.
     pub running: u32,
 }
 
-/// A router asks for news, and says what it uses.
+/// A router polls for the state of an endpoint, and reports which models it uses there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// The router, by the name of its instance.
+    /// The instance name of the router.
     pub router: String,
-    /// The endpoint, as the platform's list names it.
+    /// The id of the endpoint in the platform's list.
     pub endpoint: EndpointId,
-    /// The life of the endpoint in which it uses it, if it is known.
+    /// The incarnation of the endpoint that the router uses, if it knows one.
     #[serde(default)]
     #[serde(rename = "life")]
     pub incarnation: Option<EndpointIncarnation>,
-    /// The era of the store that the router knows: a loader that does not call the store would not see it come back from a copy.
+    /// The store era that the router knows. A loader that does not call the store would not notice otherwise that the store
+    /// was restored from an older copy.
     #[serde(default)]
     pub era: Era,
-    /// The version of the news that the router has; 0 if none.
+    /// The version of the newest state that the router has; 0 if none.
     pub seen: u64,
-    /// How long to wait for newer news.
+    /// How long the loader waits for a newer state before it answers.
     #[serde(with = "fleet::millis")]
     pub wait: Duration,
-    /// What it uses.
+    /// The models that the router uses.
     pub uses: Vec<ModelUse>,
 }
 
-/// What a loader says of its endpoint.
+/// The state of an endpoint, as its loader reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointState {
-    /// The version of this news.
+    /// The version of this state.
     pub version: u64,
-    /// The endpoint that it is about, if the loader knows.
+    /// The endpoint, if the loader knows its id.
     pub endpoint: Option<EndpointId>,
-    /// The life of the endpoint that it is about, if the endpoint says which.
+    /// The incarnation of the endpoint, if the endpoint reports it.
     #[serde(default)]
     #[serde(rename = "life")]
     pub incarnation: Option<EndpointIncarnation>,
-    /// What the endpoint holds.
+    /// The models and copies of weights that the endpoint holds.
     pub holdings: Holdings,
-    /// How busy it is.
+    /// How busy the endpoint is.
     #[serde(flatten)]
     pub load: EndpointLoad,
     /// How long it is expected to take until there is room for one more model.
     #[serde(with = "fleet::millis")]
     #[serde(rename = "room")]
     pub room_wait: Duration,
-    /// Whether the loader may give orders.
+    /// Whether the loader can give orders to the endpoint.
     #[serde(rename = "able")]
     pub can_order: bool,
-    /// Whether the endpoint says that it leaves and takes no new work.
+    /// Whether the endpoint reports that it is draining and takes no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// The configuration from which it knows what the endpoint can hold; 0 if it does not.
+    /// The version of the configuration that the loader's engine specification is from; 0 if the loader has none.
     #[serde(rename = "engine")]
     pub engine_version: Revision,
 }
 
-/// How busy an endpoint is: what changes all the time and is told with each answer.
+/// How busy an endpoint is. These numbers change all the time and are part of every answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
     /// Models that wait to be loaded.
     pub waiting: u32,
-    /// Requests that run there, as far as routers have said.
+    /// Requests running on the endpoint, as far as routers have reported them.
     pub running: u32,
-    /// Routers that the loader hears.
+    /// Routers that poll the loader.
     pub routers: u32,
 }
 
-/// The answer to a [`PollRequest`].
+/// The response to a [`PollRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PollResponse {
-    /// Newer news.
+    /// A newer state.
     #[serde(rename = "news")]
     Changed(Box<EndpointState>),
-    /// None but how busy the endpoint is: what it holds and keeps copies of is ten times as long, and with some thousand
-    /// pairs of routers and loaders most answers have nothing else to tell.
+    /// No newer state, only how busy the endpoint is. The whole state is ten times as long, and with several thousand pairs of
+    /// routers and loaders most responses have nothing else to report.
     #[serde(rename = "same")]
     Unchanged(EndpointLoad),
 }
 
-/// A router asks for a model, with its adapter if one is named.
+/// A router asks a loader to load a model, together with an adapter if the target names one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EnsureRequest {
-    /// The router.
+    /// The instance name of the router.
     pub router: String,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What is asked for.
+    /// The model, or the model and the adapter, to load.
     pub target: ModelId,
-    /// How long the router waits for it.
+    /// How long the router waits for the load.
     #[serde(with = "fleet::millis")]
     pub within: Duration,
-    /// Requests that wait for it; none if it is prepared for later.
+    /// Requests that wait for the model at the router; 0 if the model is loaded in advance.
     pub waiting: u32,
-    /// Requests a second that come for the model at the router.
+    /// Requests for the model per second that arrive at the router.
     #[serde(default)]
     pub rate: f64,
 }
 
-/// What became of an [`EnsureRequest`].
+/// The result of an [`EnsureRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EnsureOutcome {
-    /// It is loaded.
+    /// The model is loaded.
     Ready,
-    /// It is not and won't be in time; ask again after this time at the earliest.
+    /// The model is not loaded and won't be in time. The router waits at least this long before it asks again.
     Refused(#[serde(with = "fleet::millis")] Duration),
 }
 
-/// The answer to an [`EnsureRequest`].
+/// The response to an [`EnsureRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EnsureResponse {
-    /// What became of it.
+    /// The result of the request.
     #[serde(rename = "verdict")]
     pub outcome: EnsureOutcome,
-    /// The newest state.
+    /// The newest state of the endpoint.
     pub state: EndpointState,
 }
 
-/// Where a router tells another one what it knows.
+/// The path at which a router answers other routers with a [`Snapshot`].
 pub const SNAPSHOT_PATH: &str = "/snapshot";
 
-/// How far a router knows what is in the platform's store, as the query of a question: `version=7&read=0.12`.
+/// How far a router has read the platform's store, written as the query of a URL: `version=7&read=0.12`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Position {
-    /// The version of its configuration; 0 if it has none.
+    /// The version of the router's configuration; 0 if it has none.
     pub version: Revision,
-    /// How far it has read the list of endpoints; 0 if not at all.
+    /// How far the router has read the list of endpoints; 0 if not at all.
     pub read: StorePosition,
 }
 
 impl Position {
-    /// Reads the query of a question; what is missing or can't be read is not known.
+    /// Parses the query of a URL. A value that is missing or invalid becomes 0.
     pub fn from_query(query: &str) -> Self {
         let value = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -176,118 +177,119 @@
     }
 }
 
-/// What a router knows from the platform's store beyond the [`Position`] of the one that asks.
+/// What a router has read from the platform's store beyond the [`Position`] of the router that asks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration in force, if it is newer.
     #[serde(default)]
     pub catalog: Option<Catalog>,
-    /// The endpoints of which there is news.
+    /// The endpoints that were added or changed.
     pub endpoints: Vec<Endpoint>,
-    /// The other endpoints that there are; one that is in neither list is gone.
+    /// The other endpoints in the list. An endpoint that is in neither field has been removed.
     #[serde(default)]
     #[serde(rename = "kept")]
     pub unchanged: Vec<EndpointId>,
-    /// Those of both whose entries are missing since the store was away, and may come back.
+    /// Endpoints of both fields whose entries have been missing since the store was unreachable. Their entries may come back.
     #[serde(default)]
     pub missing: Vec<EndpointId>,
-    /// How far the list has been read.
+    /// How far the router has read the list of endpoints.
     #[serde(default)]
     pub read: StorePosition,
-    /// Which configuration is in force, and how old the proof is that there is no newer one.
+    /// The configuration in force, and how long ago it was confirmed to be the newest.
     #[serde(default)]
     #[serde(rename = "proved")]
     pub confirmed: Option<ConfirmedVersion>,
 }
 
-/// How old the proof is that a version of the configuration is the newest.
+/// A version of the configuration that was confirmed to be the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmedVersion {
     /// The version.
     pub version: Revision,
-    /// The age, when it was told.
+    /// The time from the confirmation to this message.
     #[serde(with = "fleet::millis")]
     pub age: Duration,
 }
 
-/// Where a router asks another one for tokens of a workspace: `POST` with [`BorrowRequest`].
+/// The path at which a router lends tokens of a workspace to another router: `POST` with [`BorrowRequest`].
 pub const TOKENS_PATH: &str = "/tokens";
 
-/// A router is short of tokens.
+/// A router asks another router for tokens of a workspace, since it has too few left.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BorrowRequest {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// How many it wants at most.
+    /// The most tokens that the router wants to borrow.
     pub tokens: f64,
 }
 
-/// The answer to a [`BorrowRequest`]: they are taken from the bucket of the one that answers.
+/// The response to a [`BorrowRequest`]. The tokens are taken from the bucket of the router that answers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct BorrowResponse {
-    /// How many.
+    /// The number of tokens lent.
     pub tokens: f64,
 }
 
-/// Where a router tells an operator of workspaces.
+/// The path at which a router reports on workspaces to an operator.
 pub const WORKSPACES_PATH: &str = "/workspaces";
 
 /// What a router knows of all workspaces.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspacesReport {
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub version: Revision,
-    /// How old the proof is that there is no newer one, if there is a proof.
+    /// The time since this version was confirmed to be the newest; none if it never was.
     pub age_ms: Option<u64>,
-    /// Whether keys are served on it.
+    /// Whether the router accepts keys by this configuration.
     pub serves: bool,
-    /// Equal shares in each limit; 0 if this router has none.
+    /// The number of equal shares that each limit is divided into; 0 if this router has no share.
     pub shares: u32,
     /// The workspaces.
     pub workspaces: Vec<WorkspaceReport>,
-    /// Keys that were refused of late.
+    /// Keys that were rejected lately.
     pub denied: Vec<DeniedKey>,
 }
 
 /// What a router knows of one workspace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceReport {
-    /// Its name.
+    /// The name of the workspace.
     pub name: WorkspaceName,
     /// The beginnings of the digests of its keys.
     pub keys: Vec<String>,
     /// Its limit over all routers, if it has one.
     pub limit: Option<Limit>,
-    /// What this router has left of it.
+    /// The units that are left in the bucket of this router.
     pub left: f64,
-    /// Units a second that it uses at this router.
+    /// Units per second that the workspace uses at this router.
     pub rate: f64,
-    /// Requests that this router refused it since it started.
+    /// Requests of the workspace that this router has rejected since it started.
     pub refused: u64,
 }
 
-/// A key that was refused.
+/// A key that was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeniedKey {
-    /// The beginning of its digest; empty where there was no key.
+    /// The beginning of the key's digest; empty if the requests had no key.
     pub key: String,
-    /// Why, the last time.
+    /// Why the key was rejected the last time.
     pub cause: String,
-    /// How often.
+    /// How often the key was rejected.
     pub count: u64,
 }
 
-/// Where a router tells another one of endpoints that ended, and is told what that one knows.
+/// The path at which routers exchange crash records: `POST` with a list of [`KeyedRecord`], answered with the other router's
+/// list.
 pub const CRASHES_PATH: &str = "/ends";
-/// Where a router lists the requests that it refuses because they crash endpoints.
+/// The path at which a router lists the requests that it refuses because they crash endpoints.
 pub const SUSPECTS_PATH: &str = "/suspects";
-/// Where an operator lets one of them go: `POST` with [`ReleaseRequest`].
+/// The path at which an operator releases such a request: `POST` with [`ReleaseRequest`].
 pub const RELEASE_PATH: &str = "/release";
 
-/// A record of the topic on ended endpoints, with its key.
+/// A record of the crash topic in the store, with its key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedRecord {
-    /// The key.
+    /// The key of the record in the store.
     pub key: String,
     /// The record.
     #[serde(rename = "note")]
@@ -297,26 +299,26 @@
 /// A request that is refused because it crashes endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// What tells it from others.
+    /// The digest that identifies the request.
     pub digest: Digest,
-    /// The ends that speak against it.
+    /// The crashes that count against the request.
     #[serde(rename = "ends")]
     pub crashes: Vec<Evidence>,
 }
 
-/// An operator lets a request go.
+/// An operator releases a request, so that it is no longer refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseRequest {
-    /// What tells it from others.
+    /// The digest that identifies the request.
     pub digest: Digest,
 }
 
-/// What the endpoints of the service can hold.
+/// The engine specification of the endpoints of a service, sent from a router to a loader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineUpdate {
-    /// The configuration that it is from.
+    /// The version of the configuration that the specification is from.
     pub version: Revision,
-    /// It.
+    /// The specification.
     pub engine: Engine,
 }
 
--- a/components/fleet/src/change.rs
+++ b/components/fleet/src/change.rs
@@ -1,20 +1,20 @@
-//! News of the platform's list of endpoints.
+//! Changes in the platform's list of endpoints.
 
 use units::EndpointId;
 
 use crate::Endpoint;
 
-/// One piece of news of the list.
+/// One change in the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// An entry is there, new or changed.
+    /// An entry was added or changed.
     Listed(Box<Endpoint>),
-    /// An entry is no longer there.
+    /// An entry was removed.
     Removed(EndpointId),
 }
 
 impl EndpointChange {
-    /// The endpoint whose entry is there.
+    /// The endpoint whose entry was added or changed; `None` for a removed entry.
     pub fn listed(&self) -> Option<&EndpointId> {
         match self {
             Self::Listed(endpoint) => Some(&endpoint.id),
--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint.
+//! An endpoint and what it holds.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,67 +7,67 @@
 use serde::{Deserialize, Serialize};
 use units::{AdapterName, Domain, EndpointId, EndpointIncarnation, ModelName, ServiceName};
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStage {
-    /// It does.
+    /// The endpoint takes new requests.
     Ready,
-    /// It finishes what it has and leaves; with the time that is left, if it was told.
+    /// The endpoint finishes its requests and then stops, after this time if it is known.
     Draining(Option<Duration>),
 }
 
-/// Copies of weights that an endpoint keeps outside its accelerator.
+/// Copies of model weights that an endpoint keeps outside its accelerator.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightCopies {
-    /// In host memory.
+    /// Models with a copy in host memory.
     pub memory: Vec<ModelName>,
-    /// On disk.
+    /// Models with a copy on disk.
     pub disk: Vec<ModelName>,
 }
 
-/// A model that is in an endpoint's accelerator, with its adapters.
+/// A model that is loaded in an endpoint's accelerator, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// The model.
     pub model: ModelName,
-    /// Its adapters.
+    /// The loaded adapters of the model.
     pub adapters: Vec<AdapterName>,
 }
 
 /// A load in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loading {
-    /// What is loaded.
+    /// The model that is being loaded.
     pub model: ModelName,
-    /// Whether it comes from the weight store.
+    /// Whether the weights come from the weight store.
     pub cold: bool,
-    /// How long it is expected to take from now.
+    /// The time that the load is expected to take from now.
     #[serde(with = "crate::millis")]
     #[serde(rename = "left")]
     pub remaining: Duration,
 }
 
-/// What an endpoint holds.
+/// The models and copies of weights that an endpoint holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// Loaded models.
+    /// The loaded models.
     pub models: Vec<LoadedModel>,
-    /// Copies.
+    /// The copies of weights outside the accelerator.
     pub copies: WeightCopies,
     /// The load in progress.
     pub loading: Option<Loading>,
-    /// Models that are about to make way and must get no new requests.
+    /// Models that are about to be evicted and must get no new requests.
     #[serde(rename = "leaving")]
     pub evicting: Vec<ModelName>,
 }
 
 impl Holdings {
-    /// Whether the model is loaded and stays.
+    /// Whether the model is loaded and isn't about to be evicted.
     pub fn holds(&self, model: &ModelName) -> bool {
         self.models.iter().any(|held| held.model == *model) && !self.evicting.contains(model)
     }
 
-    /// Whether the model is loaded, with the adapter if one is asked for.
+    /// Whether the model, and the adapter if the id names one, is loaded and the model isn't about to be evicted.
     pub fn serves(&self, id: &ModelId) -> bool {
         let held = self.models.iter().find(|held| held.model == id.model);
         let adapter =
@@ -79,22 +79,23 @@
 /// An endpoint as the platform's list describes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its id, which it may keep when it starts again.
+    /// The id of the endpoint. It may stay the same when the endpoint restarts.
     pub id: EndpointId,
-    /// Which of its lives this is about, if it says so; what was known of an earlier one does not hold for it.
+    /// The incarnation that this entry describes, if the endpoint reports it. What was known of an earlier incarnation does
+    /// not apply to this one.
     #[serde(default)]
     #[serde(rename = "life")]
     pub incarnation: Option<EndpointIncarnation>,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the endpoint.
     pub domain: Domain,
-    /// Requests that it runs at once.
+    /// Requests that the endpoint runs at the same time.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the endpoint takes new requests.
     pub stage: EndpointStage,
-    /// What it held when it wrote the entry, if it runs models.
+    /// What the endpoint held when it wrote the entry, if it runs models.
     pub holdings: Option<Holdings>,
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are known: what the platform's list says of each, and what its loader says.
+//! The endpoints: their entries in the platform's list and the models that they hold.
 
 mod change;
 mod endpoint;
--- a/components/fleet/src/tier.rs
+++ b/components/fleet/src/tier.rs
@@ -1,4 +1,4 @@
-//! Where weights are loaded from.
+//! The tiers that weights are loaded from.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 
 use crate::{Holdings, WeightCopies};
 
-/// An adapter, with the order and its answer.
-const ADAPTER: Duration = Duration::from_millis(30);
+/// How long the load of an adapter takes, including the order and its answer.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(30);
 
-/// Where the weights come from, the fastest first.
+/// The place that weights are loaded from, the fastest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tier {
-    /// The model is loaded; an adapter of it is not.
+    /// The model is loaded; only the adapter has to be loaded.
     Adapter,
-    /// Host memory of the endpoint.
+    /// The host memory of the endpoint.
     Memory,
-    /// Disk of the endpoint.
+    /// The disk of the endpoint.
     Disk,
     /// The weight store.
     Store,
 }
 
 impl Tier {
-    /// How long a load takes that has nothing in its way.
+    /// How long a load from this tier takes if no other load delays it.
     pub fn load_time(self, spec: &ModelSpec) -> Duration {
         match self {
-            Self::Adapter => ADAPTER,
+            Self::Adapter => ADAPTER_LOAD_TIME,
             Self::Memory => spec.memory_load,
             Self::Disk => spec.disk_load,
             Self::Store => spec.store_load,
@@ -38,7 +38,7 @@
 }
 
 impl WeightCopies {
-    /// Where a model is loaded from that is not in the accelerator.
+    /// The tier that a model is loaded from if it isn't in the accelerator.
     pub fn tier(&self, model: &ModelName) -> Tier {
         if self.memory.contains(model) {
             Tier::Memory
@@ -51,7 +51,7 @@
 }
 
 impl Holdings {
-    /// Where a model, or an adapter of it, is loaded from.
+    /// The tier that a model, or an adapter of it, is loaded from.
     pub fn tier(&self, model: &ModelName) -> Tier {
         if self.holds(model) { Tier::Adapter } else { self.copies.tier(model) }
     }
