--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -9,8 +9,8 @@
 
 use crate::Digest;
 
-/// A time in Unix milliseconds by the clock of the router that writes it. The clocks of routers differ by little, and all
-/// limits that depend on them are minutes long.
+/// A time in Unix milliseconds by the clock of the router that writes it. Times of different routers are compared with each
+/// other, on the assumption that their clocks differ by little; delays of trials and the retention are minutes or hours long.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/components/units/src/ids.rs
+++ b/components/units/src/ids.rs
@@ -42,7 +42,7 @@
     },
 }
 
-fn validate(kind: &'static str, text: &str, allowed: &'static str) -> Result<(), ParseIdError> {
+fn check(kind: &'static str, text: &str, allowed: &'static str) -> Result<(), ParseIdError> {
     if text.is_empty() {
         return Err(ParseIdError::Empty { kind });
     }
@@ -86,7 +86,7 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, ParseIdError> {
-                validate($kind, text, $allowed)?;
+                check($kind, text, $allowed)?;
                 Ok(Self(text.into()))
             }
         }
--- a/components/units/src/ids/tests.rs
+++ b/components/units/src/ids/tests.rs
@@ -1,7 +1,7 @@
 use super::{ModelName, NodePath, ParseIdError};
 
 #[test]
-fn the_parent_and_child_of_a_path_are_its_neighbors() {
+fn a_path_has_a_parent_and_children() {
     let path: NodePath = "/press/likhari/page-text".parse().expect("a path");
     assert_eq!(path.name(), "page-text");
     let branch = path.parent().expect("a parent");
--- a/components/units/src/quantity.rs
+++ b/components/units/src/quantity.rs
@@ -137,7 +137,7 @@
     }
 }
 
-macro_rules! string_conversions {
+macro_rules! as_text {
     ($name:ident) => {
         impl TryFrom<String> for $name {
             type Error = ParseQuantityError;
@@ -155,9 +155,9 @@
     };
 }
 
-string_conversions!(Size);
-string_conversions!(Span);
-string_conversions!(Rate);
+as_text!(Size);
+as_text!(Span);
+as_text!(Rate);
 
 #[cfg(test)]
 mod tests;
