--- a/components/catalog/src/route.rs
+++ b/components/catalog/src/route.rs
@@ -89,15 +89,15 @@
 
     /// Chooses the service for a request by weight. `random` is a random number from 0 to 1.
     pub fn choose_service(&self, random: f64) -> Option<&ServiceName> {
-        let total: u32 = self.services.iter().map(|backend| backend.weight).sum();
+        let total: u32 = self.services.iter().map(|service| service.weight).sum();
         let mut left = random * f64::from(total);
-        for backend in &self.services {
-            left -= f64::from(backend.weight);
+        for weighted in &self.services {
+            left -= f64::from(weighted.weight);
             if left < 0.0 {
-                return Some(&backend.service);
+                return Some(&weighted.service);
             }
         }
-        self.services.iter().rev().find(|backend| backend.weight > 0).map(|last| &last.service)
+        self.services.iter().rev().find(|weighted| weighted.weight > 0).map(|last| &last.service)
     }
 }
 
--- a/components/control/src/message.rs
+++ b/components/control/src/message.rs
@@ -102,7 +102,7 @@
     /// A newer state.
     #[serde(rename = "news")]
     Changed(Box<EndpointState>),
-    /// No newer state, only how busy the endpoint is. The whole state is ten times as long, and with several thousand pairs of
+    /// No newer state, only how busy the endpoint is. The whole state is ten times as long, and with thousands of pairs of
     /// routers and loaders most responses have nothing else to report.
     #[serde(rename = "same")]
     Unchanged(EndpointLoad),
--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -232,7 +232,7 @@
         step: Step,
         /// The endpoint.
         endpoint: &'a str,
-        /// How often the request had been sent before.
+        /// How often the request has been sent; in a `sent` step, how often it had been sent before.
         sends: u32,
         /// Requests that this router had in flight at the endpoint.
         inflight: u32,
--- a/components/units/src/position.rs
+++ b/components/units/src/position.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The error for a text that is not a whole number.
+/// The error for a text that is not a position or a number of this module.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not a {kind}; write a whole number")]
 pub struct ParsePositionError {
