--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -97,7 +97,7 @@
     Unknown,
 }
 
-/// An event, logged as one line of JSON.
+/// An event, logged as one line of JSON. The `event` field of the line has the name of the variant.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event<'a> {
