--- a/components/admission/src/refusal.rs
+++ b/components/admission/src/admit.rs
@@ -9,7 +9,7 @@
 
 /// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outlook {
+pub enum Admission {
     /// It can be served in time: let it wait.
     Wait,
     /// It can't: turn it away, to come back after this time.
@@ -17,8 +17,12 @@
 }
 
 /// Judges a request that has `left` until its caller leaves, if its model is ready in `expect`.
-pub fn outlook(left: Duration, expect: Duration) -> Outlook {
-    if expect + FIRST_EVENT <= left { Outlook::Wait } else { Outlook::Refuse(expect.max(SOONEST)) }
+pub fn admit(left: Duration, expect: Duration) -> Admission {
+    if expect + FIRST_EVENT <= left {
+        Admission::Wait
+    } else {
+        Admission::Refuse(expect.max(SOONEST))
+    }
 }
 
 #[cfg(test)]
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions under load, apart from input and output: what may be sent again, how many loads the weight store
-//! carries at once, and when a caller who is turned away may come back.
+//! Load-dependent decisions, without input or output: whether a failed request may be retried, how many loads from the
+//! weight store may run at once, and when a refused caller should come back.
 
-mod lanes;
-mod refusal;
-mod repeats;
+mod admit;
+mod load_concurrency;
+mod retry_budget;
 
-pub use lanes::{Beside, Lanes};
-pub use refusal::{Outlook, outlook};
-pub use repeats::{Repeat, RepeatLimits, Repeats};
+pub use admit::{Admission, admit};
+pub use load_concurrency::{ConcurrentLoads, LoadConcurrency};
+pub use retry_budget::{RetryBudget, RetryDecision, RetryLimits};
--- a/components/admission/src/lanes.rs
+++ b/components/admission/src/load_concurrency.rs
@@ -15,56 +15,56 @@
 
 /// How many loads ran at once while one did, itself included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Beside {
+pub struct ConcurrentLoads {
     /// The fewest.
-    pub least: u32,
+    pub min: u32,
     /// The most.
-    pub most: u32,
+    pub max: u32,
 }
 
-impl Beside {
+impl ConcurrentLoads {
     /// So many all the time.
-    pub fn all(count: u32) -> Self {
-        Self { least: count, most: count }
+    pub fn steady(count: u32) -> Self {
+        Self { min: count, max: count }
     }
 
     /// So many run now.
-    pub fn see(&mut self, count: u32) {
-        self.least = self.least.min(count);
-        self.most = self.most.max(count);
+    pub fn record(&mut self, count: u32) {
+        self.min = self.min.min(count);
+        self.max = self.max.max(count);
     }
 }
 
 /// The number learned so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lanes {
+pub struct LoadConcurrency {
     count: u32,
     /// Whether more at once than it carries were ever seen.
     bounded: bool,
 }
 
-impl Default for Lanes {
+impl Default for LoadConcurrency {
     fn default() -> Self {
         Self { count: FIRST, bounded: false }
     }
 }
 
-impl Lanes {
+impl LoadConcurrency {
     /// Loads that may run at once.
-    pub fn count(self) -> u32 {
+    pub fn limit(self) -> u32 {
         self.count
     }
 
     /// Learns from a load that took this long while others ran, where one alone takes `alone`.
-    pub fn learn(&mut self, took: Duration, alone: Duration, beside: Beside) {
-        let Beside { least, most } = beside;
-        if alone.is_zero() || least == 0 {
+    pub fn learn(&mut self, took: Duration, alone: Duration, beside: ConcurrentLoads) {
+        let ConcurrentLoads { min, max } = beside;
+        if alone.is_zero() || min == 0 {
             return;
         }
         let stretch = took.as_secs_f64() / alone.as_secs_f64();
         if stretch <= FREE {
             // Those that began in its last moments say nothing of the store's speed.
-            let beside = least;
+            let beside = min;
             if beside >= self.count {
                 // Once the bound is known it is only felt for, and before that approached in steps: with twice as many
                 // each would take up to twice as long, those included that most wait for.
@@ -75,8 +75,8 @@
                 };
                 self.count = (beside + more).min(MOST);
             }
-        } else if most > 1 {
-            let carried = f64::from(least + most) / 2.0 / stretch;
+        } else if max > 1 {
+            let carried = f64::from(min + max) / 2.0 / stretch;
             self.count = (carried.round() as u32).clamp(1, self.count.max(1));
             self.bounded = true;
         }
--- a/components/admission/src/repeats.rs
+++ b/components/admission/src/retry_budget.rs
@@ -22,10 +22,10 @@
 
 /// What may be repeated, over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatLimits {
-    /// Repeats for each request.
+pub struct RetryLimits {
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats in a window beyond these.
+    /// Retries in a window beyond these.
     pub slack: f64,
     /// The window.
     pub window: Duration,
@@ -40,10 +40,10 @@
 
 /// What the budget says of one repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Repeat {
+pub struct RetryDecision {
     /// Whether there was one left.
     pub allowed: bool,
-    /// Repeats in the window, this one included.
+    /// Retries in the window, this one included.
     pub spent: u32,
     /// As many are allowed.
     pub limit: u32,
@@ -51,24 +51,24 @@
 
 /// The budget of one router for one service.
 #[derive(Debug)]
-pub struct Repeats {
-    limits: RepeatLimits,
+pub struct RetryBudget {
+    limits: RetryLimits,
     counts: VecDeque<Count>,
 }
 
-impl Repeats {
+impl RetryBudget {
     /// A budget within these limits.
-    pub fn new(limits: RepeatLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self { limits, counts: VecDeque::new() }
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.count(now).requests += 1;
     }
 
     /// Takes one repeat from the budget, if there is one left; `routers` is how many share it, if that is known.
-    pub fn repeat(&mut self, routers: Option<u32>, now: Instant) -> Repeat {
+    pub fn try_retry(&mut self, routers: Option<u32>, now: Instant) -> RetryDecision {
         self.count(now);
         let requests: u32 = self.counts.iter().map(|count| count.requests).sum();
         let repeats: u32 = self.counts.iter().map(|count| count.repeats).sum();
@@ -79,7 +79,7 @@
         if allowed {
             self.count(now).repeats += 1;
         }
-        Repeat { allowed, spent: repeats + u32::from(allowed), limit }
+        RetryDecision { allowed, spent: repeats + u32::from(allowed), limit }
     }
 
     fn count(&mut self, now: Instant) -> &mut Count {
--- a/components/admission/src/repeats/tests.rs
+++ b/components/admission/src/retry_budget/tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-fn limits() -> RepeatLimits {
-    RepeatLimits { ratio: 0.2, slack: 64.0, window: Duration::from_secs(10) }
+fn limits() -> RetryLimits {
+    RetryLimits { ratio: 0.2, slack: 64.0, window: Duration::from_secs(10) }
 }
 
 #[tokio::test(start_paused = true)]
 async fn can_repeat_a_few_without_any_requests() {
-    let mut repeats = Repeats::new(limits());
+    let mut repeats = RetryBudget::new(limits());
     let now = Instant::now();
-    assert!(repeats.repeat(None, now).allowed);
-    assert!(repeats.repeat(None, now).allowed);
-    assert!(!repeats.repeat(None, now).allowed);
+    assert!(repeats.try_retry(None, now).allowed);
+    assert!(repeats.try_retry(None, now).allowed);
+    assert!(!repeats.try_retry(None, now).allowed);
 }
 
 #[tokio::test(start_paused = true)]
@@ -20,8 +20,8 @@
     for (routers, least) in [(4_u32, 28), (25, 25)] {
         let mut spent = 0;
         for _ in 0..routers {
-            let mut repeats = Repeats::new(limits());
-            while repeats.repeat(Some(routers), Instant::now()).allowed {
+            let mut repeats = RetryBudget::new(limits());
+            while repeats.try_retry(Some(routers), Instant::now()).allowed {
                 spent += 1;
             }
         }
@@ -35,15 +35,15 @@
 #[tokio::test(start_paused = true)]
 async fn all_routers_together_stay_within_the_limits(#[case] heard: Option<u32>) {
     let routers = 25;
-    let mut all: Vec<Repeats> = (0..routers).map(|_| Repeats::new(limits())).collect();
+    let mut all: Vec<RetryBudget> = (0..routers).map(|_| RetryBudget::new(limits())).collect();
     let start = Instant::now();
     let mut repeats = 0_u32;
     // Twenty seconds of a rush in which every request fails and is repeated as often as the budget lets it.
     for step in 0..2_000_u32 {
         let now = start + Duration::from_millis(u64::from(step) * 10);
         for one in &mut all {
-            one.request(now);
-            while one.repeat(heard, now).allowed {
+            one.record_request(now);
+            while one.try_retry(heard, now).allowed {
                 repeats += 1;
             }
         }
@@ -54,8 +54,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_window_that_has_passed_gives_room_again() {
-    let mut repeats = Repeats::new(limits());
+    let mut repeats = RetryBudget::new(limits());
     let now = Instant::now();
-    while repeats.repeat(None, now).allowed {}
-    assert!(repeats.repeat(None, now + Duration::from_secs(11)).allowed);
+    while repeats.try_retry(None, now).allowed {}
+    assert!(repeats.try_retry(None, now + Duration::from_secs(11)).allowed);
 }
--- a/components/loader/src/queue.rs
+++ b/components/loader/src/queue.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use admission::{Beside, Lanes};
+use admission::{ConcurrentLoads, LoadConcurrency};
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 use units::ModelName;
@@ -62,7 +62,7 @@
     /// When it last asked.
     asked: Instant,
     /// Since when it has a lane, and how many had one meanwhile.
-    lane: Option<(Instant, Beside)>,
+    lane: Option<(Instant, ConcurrentLoads)>,
 }
 
 impl Entry {
@@ -85,7 +85,7 @@
     entries: BTreeMap<String, Entry>,
     /// All loaders that there are records of.
     loaders: BTreeSet<String>,
-    lanes: Lanes,
+    lanes: LoadConcurrency,
     places: u64,
     /// Whether no lane is given to anybody, since the records do not show yet which are taken.
     held: bool,
@@ -122,7 +122,7 @@
                     before.map_or((self.places, None), |entry| (entry.place, entry.lane));
                 if loading {
                     // How many ran beside it before is lost, and must not teach that the store carries more.
-                    let beside = Beside { least: 1, most: self.running() + 1 };
+                    let beside = ConcurrentLoads { min: 1, max: self.running() + 1 };
                     lane = lane.or(Some((now, beside)));
                 }
                 let entry = Entry { model, worth, alone, place, asked: now, lane };
@@ -163,7 +163,7 @@
                 self.entries.len() + idle.count()
             }
         };
-        let rounds = ahead / (self.lanes.count().max(1) as usize);
+        let rounds = ahead / (self.lanes.limit().max(1) as usize);
         alone.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX))
     }
 
@@ -181,7 +181,7 @@
             None => now - entry.asked < RENEW * 2,
         });
         let taken = self.running();
-        let free = if self.held { 0 } else { self.lanes.count().saturating_sub(taken) };
+        let free = if self.held { 0 } else { self.lanes.limit().saturating_sub(taken) };
         let waiting = self.entries.values().filter(|entry| entry.lane.is_none()).count();
         let granted = u32::try_from(waiting).unwrap_or(u32::MAX).min(free);
         let running = taken + granted;
@@ -190,11 +190,11 @@
             let waiting = self.entries.values_mut().filter(|entry| entry.lane.is_none());
             let next = waiting.min_by(|a, b| order(a, b, &loads));
             if let Some(entry) = next {
-                entry.lane = Some((now, Beside::all(running)));
+                entry.lane = Some((now, ConcurrentLoads::steady(running)));
             }
         }
         for (_, beside) in self.entries.values_mut().filter_map(|entry| entry.lane.as_mut()) {
-            beside.see(running);
+            beside.record(running);
         }
     }
 }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admission::{Outlook, outlook};
+use admission::{Admission, admit};
 use catalog::{Engine, ModelId};
 use fleet::Tier;
 use placement::{Candidate, Holders, Served, Source};
@@ -105,9 +105,9 @@
             Found::Wake(asks) => {
                 let Some(first) = asks.first() else { continue };
                 waiting.get_or_insert_with(|| Waiting::new(shared, &first.target));
-                let outlook = outlook(left, first.expect);
+                let outlook = admit(left, first.expect);
                 // It is asked for in any case: callers that are turned away are told to come back for it.
-                let waits = outlook == Outlook::Wait;
+                let waits = outlook == Admission::Wait;
                 for Ask { id, target, expect, cold } in &asks {
                     let (expect, cold) = (*expect, *cold);
                     let within = if waits { left } else { expect + RETURN };
@@ -115,12 +115,12 @@
                     let urgent = shared.known.lock().may_urge(&target.model, id, asks.len());
                     peer::want(shared, id, target, Wish { urgent, within, expect, cold });
                 }
-                if let Outlook::Refuse(after) = outlook {
+                if let Admission::Refuse(after) = outlook {
                     return Err(NoPlace::Cold(after));
                 }
             }
             Found::Later(expect) => {
-                if let Outlook::Refuse(after) = outlook(left, expect) {
+                if let Admission::Refuse(after) = admit(left, expect) {
                     return Err(NoPlace::Cold(after));
                 }
             }
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use admission::{Beside, Lanes};
+use admission::{ConcurrentLoads, LoadConcurrency};
 use catalog::Engine;
 use fleet::Holdings;
 use tokio::time::Instant;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ColdLoad {
     since: Instant,
-    beside: Beside,
+    beside: ConcurrentLoads,
 }
 
 /// All of them.
@@ -25,7 +25,7 @@
 pub(crate) struct ColdLoads {
     loads: HashMap<(EndpointId, ModelName), ColdLoad>,
     asked: HashMap<(EndpointId, ModelName), Instant>,
-    lanes: Lanes,
+    lanes: LoadConcurrency,
 }
 
 impl ColdLoads {
@@ -57,12 +57,12 @@
             let key = (id.clone(), loading.model.clone());
             self.asked.remove(&key);
             let count = u32::try_from(self.loads.len() + 1).unwrap_or(u32::MAX);
-            let load = ColdLoad { since: now, beside: Beside::all(count) };
+            let load = ColdLoad { since: now, beside: ConcurrentLoads::steady(count) };
             self.loads.entry(key).or_insert(load);
         }
         let count = u32::try_from(self.loads.len()).unwrap_or(u32::MAX);
         for load in self.loads.values_mut() {
-            load.beside.see(count);
+            load.beside.record(count);
         }
     }
 
@@ -89,11 +89,11 @@
     /// Lanes of the weight store that are free.
     pub(crate) fn free(&self, now: Instant) -> usize {
         let asked = self.asked.values().filter(|at| now - **at < ASKED).count();
-        (self.lanes.count() as usize).saturating_sub(self.loads.len() + asked)
+        (self.lanes.limit() as usize).saturating_sub(self.loads.len() + asked)
     }
 
     /// Lanes of the weight store.
     pub(crate) fn all(&self) -> usize {
-        self.lanes.count() as usize
+        self.lanes.limit() as usize
     }
 }
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use admission::{Repeat, RepeatLimits, Repeats};
+use admission::{RetryBudget, RetryDecision, RetryLimits};
 use catalog::Catalog;
 use control::{Kept, Loader, Position, State};
 use events::{Event, emit};
@@ -99,7 +99,7 @@
     pub(crate) guard: Arc<Guard>,
     /// How far the records on ended endpoints have been read, while the store answers.
     pub(crate) ends_read: watch::Sender<Option<StorePosition>>,
-    repeats: Mutex<HashMap<ServiceName, Repeats>>,
+    repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl Shared {
@@ -258,23 +258,24 @@
 
     /// Counts a request to a service.
     pub(crate) fn count(&self, service: &ServiceName) {
-        self.with_repeats(service, |repeats| repeats.request(Instant::now()));
+        self.with_repeats(service, |repeats| repeats.record_request(Instant::now()));
     }
 
     /// Takes a repeat from the budget of a service, for a request.
     pub(crate) fn may_repeat(&self, service: &ServiceName, request: &str) -> bool {
         let routers = self.known.lock().heard_routers();
-        let taken = self.with_repeats(service, |repeats| repeats.repeat(routers, Instant::now()));
-        let Repeat { allowed, spent, limit } = taken;
+        let taken =
+            self.with_repeats(service, |repeats| repeats.try_retry(routers, Instant::now()));
+        let RetryDecision { allowed, spent, limit } = taken;
         emit(&Event::Repeat { request, service: service.as_str(), allowed, spent, limit });
         allowed
     }
 
-    fn with_repeats<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Repeats) -> T) -> T {
+    fn with_repeats<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut all = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = self.settings.borrow().repeats;
         let Span(window) = limits.window;
-        let limits = RepeatLimits { ratio: limits.ratio, slack: limits.slack, window };
-        f(all.entry(service.clone()).or_insert_with(|| Repeats::new(limits)))
+        let limits = RetryLimits { ratio: limits.ratio, slack: limits.slack, window };
+        f(all.entry(service.clone()).or_insert_with(|| RetryBudget::new(limits)))
     }
 }
