--- a/components/placement/src/ahead.rs
+++ b/components/placement/src/backlog.rs
@@ -19,7 +19,7 @@
 
 /// The reading that requests of one router still need at an endpoint, in seconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Ahead {
+pub struct PromptBacklog {
     own: f64,
     /// Prompts that it is made of.
     prompts: u32,
@@ -27,7 +27,7 @@
     at: Option<Instant>,
 }
 
-impl Ahead {
+impl PromptBacklog {
     /// A request was sent there.
     pub fn add(&mut self, work: Duration, now: Instant) {
         self.mean = self.mean_at(now);
@@ -37,7 +37,7 @@
     }
 
     /// A request has begun to run, or is over.
-    pub fn done(&mut self, work: Duration, now: Instant) {
+    pub fn remove(&mut self, work: Duration, now: Instant) {
         self.mean = self.mean_at(now);
         self.at = Some(now);
         self.own = (self.own - work.as_secs_f64()).max(0.0);
@@ -50,7 +50,7 @@
     }
 
     /// What it has to read for all of so many routers.
-    pub fn all(&self, routers: u32, now: Instant) -> Duration {
+    pub fn total(&self, routers: u32, now: Instant) -> Duration {
         let others = f64::from(routers.saturating_sub(1));
         let burst = if self.prompts >= BURST { self.own * ALIKE } else { 0.0 };
         let other = self.mean_at(now).max(burst);
--- a/components/placement/src/candidate.rs
+++ b/components/placement/src/candidate.rs
@@ -17,17 +17,17 @@
     /// Requests of this router that it has.
     pub running: u32,
     /// Requests that it has of all routers, as its loader last said; at least those of this router.
-    pub total: u32,
+    pub total_running: u32,
     /// How long it is expected to read prompts that it has already, of all routers.
-    pub ahead: Duration,
+    pub backlog: Duration,
     /// Requests that failed there of late.
     pub failures: f64,
     /// Models that wait at its loader.
-    pub waiting: u32,
+    pub queued_models: u32,
     /// How long its loader expects to take until there is room for one more model.
-    pub room: Duration,
+    pub room_wait: Duration,
     /// Whether its loader can be asked for models.
-    pub able: bool,
+    pub can_load: bool,
 }
 
 /// A number that ranks endpoints for a key alike on all routers; the lowest goes first.
@@ -41,9 +41,9 @@
 const ROOMY: f64 = 0.4;
 
 /// Whether room is short on these endpoints.
-pub fn tight(candidates: &[Candidate<'_>]) -> bool {
-    let able = candidates.iter().filter(|one| one.able);
-    let roomy = able.clone().filter(|one| one.room.is_zero() && one.waiting == 0);
+pub fn memory_scarce(candidates: &[Candidate<'_>]) -> bool {
+    let able = candidates.iter().filter(|one| one.can_load);
+    let roomy = able.clone().filter(|one| one.room_wait.is_zero() && one.queued_models == 0);
     (roomy.count() as f64) < ROOMY * able.count() as f64
 }
 
@@ -55,7 +55,7 @@
 
     /// The part of its slots that is taken.
     pub fn fill(&self) -> f64 {
-        f64::from(self.total.max(self.running)) / f64::from(self.endpoint.slots.max(1))
+        f64::from(self.total_running.max(self.running)) / f64::from(self.endpoint.slots.max(1))
     }
 
     /// Accelerator memory that is free for weights.
--- a/components/placement/src/serve.rs
+++ b/components/placement/src/choose.rs
@@ -9,7 +9,7 @@
 use catalog::ModelId;
 use units::Domain;
 
-use crate::{Candidate, FILL, tight};
+use crate::{Candidate, MAX_MODEL_SLOT_SHARE, memory_scarce};
 
 /// What a full endpoint without models costs a request, in milliseconds; a part of it costs a part.
 const FULL: f64 = 20.0;
@@ -28,35 +28,35 @@
 
 /// Where a request goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Served {
+pub struct ChosenEndpoint {
     /// The candidate.
     pub index: usize,
     /// When its first event is expected.
-    pub expect: Duration,
+    pub first_event: Duration,
 }
 
 /// The best endpoint that can serve now; `id` is the model that it must hold, if it runs models, and `work` the time
 /// that its prompt takes.
-pub fn serve(
+pub fn choose_endpoint(
     candidates: &[Candidate<'_>],
     id: Option<&ModelId>,
     work: Duration,
     near: &Domain,
-) -> Option<Served> {
+) -> Option<ChosenEndpoint> {
     let all = candidates.iter().enumerate();
     match id {
         Some(id) => {
             let holds = |one: &Candidate<'_>| one.holdings.is_some_and(|held| held.serves(id));
             let key = id.model.as_str();
-            let tight = tight(candidates);
+            let tight = memory_scarce(candidates);
             let alike = if tight { ALIKE_TIGHT } else { ALIKE };
-            let full = if tight { FILL } else { CROWDED };
+            let full = if tight { MAX_MODEL_SLOT_SHARE } else { CROWDED };
             let costs = all.filter(|(_, one)| holds(one)).map(|(index, one)| {
-                let expect = one.ahead + work + RUN.mul_f64((one.fill() - CROWDED).max(0.0));
+                let expect = one.backlog + work + RUN.mul_f64((one.fill() - CROWDED).max(0.0));
                 let over = RUN.mul_f64((one.fill() - full).max(0.0));
-                let steps = (one.ahead + over).as_millis() / alike.as_millis();
+                let steps = (one.backlog + over).as_millis() / alike.as_millis();
                 let far = !tight && one.endpoint.domain != *near;
-                ((steps, far, one.rank(key)), Served { index, expect })
+                ((steps, far, one.rank(key)), ChosenEndpoint { index, first_event: expect })
             });
             costs.min_by_key(|(cost, _)| *cost).map(|(_, served)| served)
         }
@@ -68,7 +68,7 @@
             });
             let best = costs
                 .min_by(|(_, a, rank_a), (_, b, rank_b)| a.total_cmp(b).then(rank_a.cmp(rank_b)));
-            best.map(|(index, _, _)| Served { index, expect: Duration::ZERO })
+            best.map(|(index, _, _)| ChosenEndpoint { index, first_event: Duration::ZERO })
         }
     }
 }
--- a/components/placement/src/serve/tests.rs
+++ b/components/placement/src/choose/tests.rs
@@ -5,7 +5,7 @@
 
 fn chosen(site: &Site, id: Option<&ModelId>) -> Option<usize> {
     let work = Duration::from_millis(20);
-    serve(&site.candidates(), id, work, &domain()).map(|served| served.index)
+    choose_endpoint(&site.candidates(), id, work, &domain()).map(|served| served.index)
 }
 
 fn ms(millis: u64) -> Duration {
@@ -16,14 +16,14 @@
 fn takes_only_endpoints_that_hold_the_model_and_its_adapter() {
     let mut site = Site::new(3);
     site.hold(1, "m", &["a1"]);
-    let serve = |text: &str| {
+    let chosen_for = |text: &str| {
         let id: ModelId = text.parse().expect("an id");
         chosen(&site, Some(&id))
     };
-    assert_eq!(serve("m"), Some(1));
-    assert_eq!(serve("m/a1"), Some(1));
-    assert_eq!(serve("m/a2"), None);
-    assert_eq!(serve("n"), None);
+    assert_eq!(chosen_for("m"), Some(1));
+    assert_eq!(chosen_for("m/a1"), Some(1));
+    assert_eq!(chosen_for("m/a2"), None);
+    assert_eq!(chosen_for("n"), None);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     site.room = vec![ms(500); 4];
     let id: ModelId = "m".parse().expect("an id");
     let first = chosen(&site, Some(&id)).expect("one");
-    site.total[first] = (FILL * 64.0) as u32;
+    site.total[first] = (MAX_MODEL_SLOT_SHARE * 64.0) as u32;
     site.ahead[first] = ms(60);
     assert_eq!(chosen(&site, Some(&id)), Some(first));
     site.total[first] = 60;
--- a/components/placement/src/demand.rs
+++ b/components/placement/src/demand.rs
@@ -33,7 +33,7 @@
 /// queue, and streams pause.
 const BUSY: f64 = 0.6;
 /// The part of an endpoint's slots that may be taken by one model's streams.
-pub const FILL: f64 = 0.6;
+pub const MAX_MODEL_SLOT_SHARE: f64 = 0.6;
 /// Prompts that wait for a model are to be read within this time of its load.
 const WAVE: Duration = Duration::from_millis(500);
 
@@ -99,7 +99,7 @@
 
 /// What one router knows that bears on the number of holders.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pressure {
+pub struct ScalingInputs {
     /// Routers that callers are spread over.
     pub routers: u32,
     /// Requests that this router has at endpoints.
@@ -109,7 +109,7 @@
     /// Requests that wait at this router, and their work.
     pub waiting: (u32, Duration),
     /// Whether models wait for room.
-    pub tight: bool,
+    pub memory_scarce: bool,
 }
 
 /// What so many requests of one router say of all routers: as much for each, less what chance may have added. One
@@ -121,12 +121,12 @@
 
 impl Demand {
     /// How long an endpoint takes to read a prompt of this model, with nothing in its way.
-    pub fn work(&self, tokens: u32) -> Duration {
+    pub fn prefill_time(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(self.line.rise() * f64::from(tokens) / 1_000.0)
     }
 
     /// Counts a request that came.
-    pub fn arrived(&mut self, tokens: u32, now: Instant) {
+    pub fn record_arrival(&mut self, tokens: u32, now: Instant) {
         let kept = kept(self.rated, now, SPAN);
         self.rate = self.rate * kept + f64::from(tokens) / SPAN.as_secs_f64();
         self.count = self.count * kept + 1.0 / SPAN.as_secs_f64();
@@ -134,7 +134,7 @@
     }
 
     /// Requests a second that came of late.
-    pub fn arrivals(&self, now: Instant) -> f64 {
+    pub fn request_rate(&self, now: Instant) -> f64 {
         self.count * kept(self.rated, now, SPAN)
     }
 
@@ -150,20 +150,22 @@
     }
 
     /// The work that comes through so many routers, as a part of one endpoint's time.
-    pub fn load(&self, routers: u32, now: Instant) -> f64 {
+    pub fn prefill_load(&self, routers: u32, now: Instant) -> f64 {
         let load = self.rate * kept(self.rated, now, SPAN) * self.line.rise() / 1_000.0;
-        all(load, self.arrivals(now) * SPAN.as_secs_f64(), routers)
+        all(load, self.request_rate(now) * SPAN.as_secs_f64(), routers)
     }
 
     /// How many endpoints should hold the model.
-    pub fn holders(&self, pressure: &Pressure, now: Instant) -> u32 {
-        let Pressure { routers, running, slots, waiting: (count, work), tight } = *pressure;
+    pub fn replicas_needed(&self, pressure: &ScalingInputs, now: Instant) -> u32 {
+        let ScalingInputs { routers, running, slots, waiting: (count, work), memory_scarce } =
+            *pressure;
         let running = f64::from(running);
-        let streams = all(running, running, routers) / f64::from(slots.max(1)) / FILL;
+        let streams =
+            all(running, running, routers) / f64::from(slots.max(1)) / MAX_MODEL_SLOT_SHARE;
         let wave = all(work.as_secs_f64(), f64::from(count), routers) / WAVE.as_secs_f64();
-        let reading = self.load(routers, now) / BUSY + wave;
+        let reading = self.prefill_load(routers, now) / BUSY + wave;
         // Where other models wait for room, each further holder takes it from them.
-        let needed = if tight { streams } else { reading.max(streams) };
+        let needed = if memory_scarce { streams } else { reading.max(streams) };
         needed.ceil().max(1.0) as u32
     }
 }
--- a/components/placement/src/demand/tests.rs
+++ b/components/placement/src/demand/tests.rs
@@ -13,9 +13,9 @@
         for index in 0..200 {
             let tokens = [60, 300, 650, 1_500][index % 4];
             let took = ms(fixed) + Duration::from_secs_f64(token * f64::from(tokens) / 1_000.0);
-            demand.learn(demand.work(tokens), took);
+            demand.learn(demand.prefill_time(tokens), took);
         }
-        let learned = demand.work(1_000).as_secs_f64();
+        let learned = demand.prefill_time(1_000).as_secs_f64();
         assert!((0.6..1.3).contains(&(learned / token)), "{learned} for {token}");
     }
 }
@@ -23,14 +23,16 @@
 #[tokio::test(start_paused = true)]
 async fn answers_that_waited_for_others_hardly_change_the_pace() {
     let mut demand = Demand::default();
-    let before = demand.work(1_000);
+    let before = demand.prefill_time(1_000);
     for index in 0..200 {
         let late = if index % 3 == 0 { ms(200) } else { ms(0) };
         let tokens = [60, 300, 650, 1_500][index % 4];
-        demand
-            .learn(demand.work(tokens), ms(5) + before.mul_f64(f64::from(tokens) / 1_000.0) + late);
+        demand.learn(
+            demand.prefill_time(tokens),
+            ms(5) + before.mul_f64(f64::from(tokens) / 1_000.0) + late,
+        );
     }
-    let after = demand.work(1_000);
+    let after = demand.prefill_time(1_000);
     assert!(after < before * 2 && after > before / 2, "{after:?} after {before:?}");
 }
 
@@ -38,35 +40,42 @@
 async fn a_shift_of_demand_shows_within_a_second_and_is_forgotten_in_a_few() {
     let mut demand = Demand::default();
     for _ in 0..43 {
-        demand.arrived(650, Instant::now());
+        demand.record_arrival(650, Instant::now());
         tokio::time::advance(ms(23)).await;
     }
-    let load = demand.load(1, Instant::now());
+    let load = demand.prefill_load(1, Instant::now());
     assert!((0.4..0.9).contains(&load), "{load}");
     let quiet = quiet();
-    assert!(demand.holders(&Pressure { routers: 2, ..quiet }, Instant::now()) >= 2);
-    assert_eq!(demand.holders(&Pressure { routers: 2, tight: true, ..quiet }, Instant::now()), 1);
+    assert!(demand.replicas_needed(&ScalingInputs { routers: 2, ..quiet }, Instant::now()) >= 2);
+    assert_eq!(
+        demand.replicas_needed(
+            &ScalingInputs { routers: 2, memory_scarce: true, ..quiet },
+            Instant::now()
+        ),
+        1
+    );
     tokio::time::advance(ms(4_000)).await;
-    assert!(demand.load(1, Instant::now()) < 0.05);
+    assert!(demand.prefill_load(1, Instant::now()) < 0.05);
 }
 
-fn quiet() -> Pressure {
-    Pressure { routers: 4, running: 0, slots: 64, waiting: (0, ms(0)), tight: false }
+fn quiet() -> ScalingInputs {
+    ScalingInputs { routers: 4, running: 0, slots: 64, waiting: (0, ms(0)), memory_scarce: false }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_rare_model_needs_one_holder_however_many_routers_there_are() {
     let mut demand = Demand::default();
-    demand.arrived(2_600, Instant::now());
-    let rare = Pressure { routers: 27, running: 1, waiting: (1, ms(80)), ..quiet() };
-    assert_eq!(demand.holders(&rare, Instant::now()), 1);
+    demand.record_arrival(2_600, Instant::now());
+    let rare = ScalingInputs { routers: 27, running: 1, waiting: (1, ms(80)), ..quiet() };
+    assert_eq!(demand.replicas_needed(&rare, Instant::now()), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_wave_that_waits_and_many_streams_need_several_holders() {
     let (demand, now) = (Demand::default(), Instant::now());
     // Fifty callers at each router come back for a busy model after a loss of power.
-    let wave = demand.holders(&Pressure { waiting: (50, ms(17) * 50), ..quiet() }, now);
+    let wave =
+        demand.replicas_needed(&ScalingInputs { waiting: (50, ms(17) * 50), ..quiet() }, now);
     assert!((5..=7).contains(&wave), "{wave}");
-    assert_eq!(demand.holders(&Pressure { running: 25, ..quiet() }, now), 3);
+    assert_eq!(demand.replicas_needed(&ScalingInputs { running: 25, ..quiet() }, now), 3);
 }
--- a/components/placement/src/trouble.rs
+++ b/components/placement/src/failures.rs
@@ -19,26 +19,26 @@
 
 /// Failures of late; old ones count less.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Trouble {
+pub struct RecentFailures {
     failures: f64,
     at: Option<Instant>,
 }
 
-impl Trouble {
+impl RecentFailures {
     /// A request failed.
-    pub fn failed(&mut self, now: Instant) {
-        self.failures = (self.failures(now) + 1.0).min(MOST);
+    pub fn record_failure(&mut self, now: Instant) {
+        self.failures = (self.count(now) + 1.0).min(MOST);
         self.at = Some(now);
     }
 
     /// A request worked.
-    pub fn worked(&mut self, now: Instant) {
-        self.failures = self.failures(now) * WORKED;
+    pub fn record_success(&mut self, now: Instant) {
+        self.failures = self.count(now) * WORKED;
         self.at = Some(now);
     }
 
     /// Failures of late.
-    pub fn failures(&self, now: Instant) -> f64 {
+    pub fn count(&self, now: Instant) -> f64 {
         self.failures * kept(self.at, now, SPAN)
     }
 }
--- a/components/placement/src/fixture.rs
+++ b/components/placement/src/fixture.rs
@@ -70,12 +70,12 @@
             endpoint,
             holdings: self.models.then(|| &self.holdings[index]),
             running: 0,
-            total: self.total[index],
-            ahead: self.ahead[index],
+            total_running: self.total[index],
+            backlog: self.ahead[index],
             failures: self.failures[index],
-            waiting: 0,
-            room: self.room[index],
-            able: self.able[index],
+            queued_models: 0,
+            room_wait: self.room[index],
+            can_load: self.able[index],
         };
         self.endpoints.iter().enumerate().map(candidate).collect()
     }
--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,22 +1,22 @@
-//! Which endpoint serves a request, and where a model is loaded: values in, values out.
+//! Pure decisions about placement: which endpoint serves a request, and which endpoint loads a model.
 
-mod ahead;
+mod backlog;
 mod candidate;
+mod choose;
 mod decay;
 mod demand;
+mod failures;
 #[cfg(test)]
 mod fixture;
-mod prepare;
-mod serve;
-mod spread;
-mod trouble;
-mod wake;
+mod load_target;
+mod prefetch;
+mod scale_out;
 
-pub use ahead::Ahead;
-pub use candidate::{Candidate, rank, tight};
-pub use demand::{Demand, FILL, Pressure};
-pub use prepare::{Free, prepare};
-pub use serve::{Served, serve};
-pub use spread::{Holders, spread};
-pub use trouble::Trouble;
-pub use wake::{Source, Wake, copied, wakes};
+pub use backlog::PromptBacklog;
+pub use candidate::{Candidate, memory_scarce, rank};
+pub use choose::{ChosenEndpoint, choose_endpoint};
+pub use demand::{Demand, MAX_MODEL_SLOT_SHARE, ScalingInputs};
+pub use failures::RecentFailures;
+pub use load_target::{LoadSource, LoadTarget, choose_load_targets, has_copy};
+pub use prefetch::{PrefetchCapacity, plan_prefetch};
+pub use scale_out::{ReplicaStatus, scale_out};
--- a/components/placement/src/wake.rs
+++ b/components/placement/src/load_target.rs
@@ -13,13 +13,13 @@
 
 /// Where to load a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wake {
+pub struct LoadTarget {
     /// The candidate.
     pub index: usize,
     /// Where the weights come from.
     pub tier: Tier,
     /// When it is expected to be ready.
-    pub expect: Duration,
+    pub ready_in: Duration,
 }
 
 /// What a model that waits at a loader costs the next one: a load from disk with its order.
@@ -31,52 +31,52 @@
 
 /// Where the weights of a further holder may come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum LoadSource {
     /// From an endpoint's own copies.
-    Copies,
+    CopiesOnly,
     /// Also from the weight store, if no endpoint keeps a copy.
-    First,
+    CopiesOrStore,
 }
 
 /// The best endpoint to load a model on.
-pub(crate) fn wake(
+pub(crate) fn choose_load_target(
     candidates: &[Candidate<'_>],
     id: &ModelId,
     engine: &Engine,
-    source: Source,
-) -> Option<Wake> {
-    wakes(candidates, id, engine, source, 1).pop()
+    source: LoadSource,
+) -> Option<LoadTarget> {
+    choose_load_targets(candidates, id, engine, source, 1).pop()
 }
 
 /// The best endpoints to load a model on at once, at most so many: the first from anywhere, the others from copies.
-pub fn wakes(
+pub fn choose_load_targets(
     candidates: &[Candidate<'_>],
     id: &ModelId,
     engine: &Engine,
-    source: Source,
+    source: LoadSource,
     most: usize,
-) -> Vec<Wake> {
+) -> Vec<LoadTarget> {
     let Some(spec) = engine.model(&id.model) else { return Vec::new() };
     let key = id.model.as_str();
-    let able = candidates.iter().enumerate().filter(|(_, candidate)| candidate.able);
+    let able = candidates.iter().enumerate().filter(|(_, candidate)| candidate.can_load);
     let store = match source {
-        Source::Copies => false,
-        Source::First => !copied(candidates, &id.model),
+        LoadSource::CopiesOnly => false,
+        LoadSource::CopiesOrStore => !has_copy(candidates, &id.model),
     };
     let all = able.filter_map(|(index, candidate)| {
         let (tier, expect) = expected(candidate, candidate.holdings?, &id.model, spec, engine);
         let arriving = candidate.holdings?.loading.as_ref().is_some_and(|l| l.model == id.model);
         let allowed = tier != Tier::Store || arriving || store;
-        allowed.then(|| (Wake { index, tier, expect }, candidate.rank(key)))
+        allowed.then(|| (LoadTarget { index, tier, ready_in: expect }, candidate.rank(key)))
     });
-    let mut all: Vec<(Wake, u64)> = all.collect();
-    all.sort_by_key(|(wake, rank)| (wake.expect, *rank));
+    let mut all: Vec<(LoadTarget, u64)> = all.collect();
+    all.sort_by_key(|(wake, rank)| (wake.ready_in, *rank));
     let best = all.into_iter().map(|(wake, _)| wake).take(most.max(1)).enumerate();
     best.filter(|(place, wake)| *place == 0 || wake.tier < Tier::Store).map(|(_, w)| w).collect()
 }
 
 /// Whether an endpoint holds a model or keeps a copy of it.
-pub fn copied(candidates: &[Candidate<'_>], model: &ModelName) -> bool {
+pub fn has_copy(candidates: &[Candidate<'_>], model: &ModelName) -> bool {
     let mut held = candidates.iter().filter_map(|candidate| candidate.holdings);
     held.any(|held| held.tier(model) != Tier::Store)
 }
@@ -100,8 +100,8 @@
     }
     let before = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.left);
     let free = candidate.free(engine) >= spec.weights;
-    let room = if free { Duration::ZERO } else { ROOM + candidate.room };
-    (tier, load + before + TURN * candidate.waiting + room + RUN * candidate.running)
+    let room = if free { Duration::ZERO } else { ROOM + candidate.room_wait };
+    (tier, load + before + TURN * candidate.queued_models + room + RUN * candidate.running)
 }
 
 #[cfg(test)]
--- a/components/placement/src/wake/tests.rs
+++ b/components/placement/src/load_target/tests.rs
@@ -13,7 +13,9 @@
     site.copy(2, "a");
     site.hold(2, "b", &[]);
     site.hold(2, "c", &[]);
-    let wake = wake(&site.candidates(), &id("a"), &engine(), Source::First).expect("a place");
+    let wake =
+        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
+            .expect("a place");
     assert_eq!((wake.index, wake.tier), (2, Tier::Disk));
 }
 
@@ -22,22 +24,32 @@
     let mut site = Site::new(2);
     site.copy(0, "a");
     site.able[0] = false;
-    assert_eq!(wake(&site.candidates(), &id("a"), &engine(), Source::First), None);
+    assert_eq!(
+        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore),
+        None
+    );
 }
 
 #[test]
 fn the_weight_store_is_used_only_with_a_free_lane() {
     let site = Site::new(2);
-    assert_eq!(wake(&site.candidates(), &id("a"), &engine(), Source::Copies), None);
-    let wake = wake(&site.candidates(), &id("a"), &engine(), Source::First).expect("a place");
-    assert_eq!((wake.tier, wake.expect), (Tier::Store, Duration::from_secs(6)));
+    assert_eq!(
+        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly),
+        None
+    );
+    let wake =
+        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
+            .expect("a place");
+    assert_eq!((wake.tier, wake.ready_in), (Tier::Store, Duration::from_secs(6)));
 }
 
 #[test]
 fn an_adapter_is_loaded_where_its_model_is() {
     let mut site = Site::new(3);
     site.hold(1, "a", &[]);
-    let wake = wake(&site.candidates(), &id("a/x"), &engine(), Source::First).expect("a place");
+    let wake =
+        choose_load_target(&site.candidates(), &id("a/x"), &engine(), LoadSource::CopiesOrStore)
+            .expect("a place");
     assert_eq!((wake.index, wake.tier), (1, Tier::Adapter));
 }
 
@@ -46,10 +58,14 @@
     let mut site = Site::new(6);
     (0..6).for_each(|index| site.copy(index, "a"));
     let mut candidates = site.candidates();
-    let first = wake(&candidates, &id("a"), &engine(), Source::First).expect("a place").index;
+    let first = choose_load_target(&candidates, &id("a"), &engine(), LoadSource::CopiesOrStore)
+        .expect("a place")
+        .index;
     let chosen = candidates[first].endpoint.id.clone();
     candidates.reverse();
-    let again = wake(&candidates, &id("a"), &engine(), Source::First).expect("a place").index;
+    let again = choose_load_target(&candidates, &id("a"), &engine(), LoadSource::CopiesOrStore)
+        .expect("a place")
+        .index;
     assert_eq!(candidates[again].endpoint.id, chosen);
 }
 
@@ -58,18 +74,21 @@
     let mut site = Site::new(3);
     let left = Duration::from_secs(2);
     site.holdings[1].loading = Some(fleet::Loading { model: name("a"), cold: true, left });
-    let wake = wake(&site.candidates(), &id("a"), &engine(), Source::Copies).expect("a place");
-    assert_eq!((wake.index, wake.expect), (1, left));
+    let wake = choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly)
+        .expect("a place");
+    assert_eq!((wake.index, wake.ready_in), (1, left));
 }
 
 #[test]
 fn several_endpoints_are_woken_from_copies_only() {
     let mut site = Site::new(4);
     (0..3).for_each(|index| site.copy(index, "a"));
-    let all = wakes(&site.candidates(), &id("a"), &engine(), Source::First, 4);
+    let all =
+        choose_load_targets(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore, 4);
     assert_eq!(all.len(), 3);
     assert!(all.iter().all(|wake| wake.tier == Tier::Disk));
-    let store = wakes(&site.candidates(), &id("b"), &engine(), Source::First, 4);
+    let store =
+        choose_load_targets(&site.candidates(), &id("b"), &engine(), LoadSource::CopiesOrStore, 4);
     assert_eq!(store.len(), 1, "one load from the weight store is enough");
 }
 
@@ -78,7 +97,8 @@
     let mut site = Site::new(2);
     site.hold(0, "a", &[]);
     let all = site.candidates();
-    assert_eq!(wake(&all[1..], &id("a"), &engine(), Source::Copies), None);
-    let first = wake(&all, &id("a"), &engine(), Source::First).expect("the holder");
+    assert_eq!(choose_load_target(&all[1..], &id("a"), &engine(), LoadSource::CopiesOnly), None);
+    let first = choose_load_target(&all, &id("a"), &engine(), LoadSource::CopiesOrStore)
+        .expect("the holder");
     assert_eq!((first.index, first.tier), (0, Tier::Adapter));
 }
--- a/components/placement/src/prepare.rs
+++ b/components/placement/src/prefetch.rs
@@ -35,21 +35,21 @@
 
 /// The lanes of the weight store that may be taken for what nobody waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Free {
+pub struct PrefetchCapacity {
     /// Those that are free.
-    pub lanes: usize,
+    pub free: usize,
     /// All of them.
-    pub all: usize,
+    pub total: usize,
 }
 
 /// The next models to bring in and the candidates for them, as far as there are free lanes: those that are wanted and
 /// missing, then for endpoints that keep nothing what is wanted most for each copy there is, then what nobody has asked
 /// for yet; `asked` are on their way already. The last leave half of the lanes to callers: when a release took the last
 /// copies of the busiest model, all lanes were taken for 6 s by models that nobody wanted.
-pub fn prepare(
+pub fn plan_prefetch(
     candidates: &[Candidate<'_>],
     engine: &Engine,
-    free: Free,
+    capacity: PrefetchCapacity,
     asked: &HashSet<&ModelName>,
     demand: impl Fn(&ModelName) -> f64,
 ) -> Vec<(ModelName, usize)> {
@@ -59,16 +59,16 @@
     let rare = missing.iter().filter(|(_, demand)| *demand <= 0.0).map(|(name, _)| *name);
     let mut taken = Vec::new();
     for name in wanted {
-        if taken.len() < free.lanes {
+        if taken.len() < capacity.free {
             taken.extend(place(candidates, engine, name, &taken, false));
         }
     }
     for name in thin(candidates, engine, &demand) {
-        if taken.len() < free.lanes && !asked.contains(name) {
+        if taken.len() < capacity.free && !asked.contains(name) {
             taken.extend(place(candidates, engine, name, &taken, true));
         }
     }
-    let spare = free.lanes.saturating_sub(free.all / 2);
+    let spare = capacity.free.saturating_sub(capacity.total / 2);
     for name in rare {
         if taken.len() < spare {
             taken.extend(place(candidates, engine, name, &taken, false));
@@ -83,7 +83,7 @@
     engine: &'a Engine,
     demand: impl Fn(&ModelName) -> f64,
 ) -> Vec<&'a ModelName> {
-    if !candidates.iter().any(|candidate| candidate.able && empty(candidate)) {
+    if !candidates.iter().any(|candidate| candidate.can_load && empty(candidate)) {
         return Vec::new();
     }
     let holdings = || candidates.iter().filter_map(|candidate| candidate.holdings);
@@ -123,10 +123,10 @@
     let spec = engine.model(name)?;
     let idle = candidates.iter().enumerate().filter(|(index, candidate)| {
         let idle = candidate.holdings.is_some_and(|held| held.loading.is_none());
-        candidate.able
+        candidate.can_load
             && idle
             && (!new || empty(candidate))
-            && candidate.waiting == 0
+            && candidate.queued_models == 0
             && taken.iter().all(|(_, i)| i != index)
     });
     let best = idle.min_by_key(|(_, candidate)| {
--- a/components/placement/src/prepare/tests.rs
+++ b/components/placement/src/prefetch/tests.rs
@@ -4,8 +4,8 @@
 use crate::fixture::{Site, engine, name};
 
 /// So many free lanes, none of which is left to callers.
-fn lanes(lanes: usize) -> Free {
-    Free { lanes, all: 0 }
+fn lanes(lanes: usize) -> PrefetchCapacity {
+    PrefetchCapacity { free: lanes, total: 0 }
 }
 
 #[test]
@@ -15,7 +15,7 @@
     site.hold(1, "b", &[]);
     site.holdings[2].loading =
         Some(fleet::Loading { model: name("c"), cold: true, left: std::time::Duration::ZERO });
-    let planned = prepare(&site.candidates(), &engine(), lanes(8), &HashSet::new(), |_| 0.0);
+    let planned = plan_prefetch(&site.candidates(), &engine(), lanes(8), &HashSet::new(), |_| 0.0);
     let names: Vec<&str> = planned.iter().map(|(model, _)| model.as_str()).collect();
     assert_eq!(names, ["d", "e"], "only two endpoints are idle");
     assert_ne!(planned[0].1, planned[1].1);
@@ -24,8 +24,13 @@
 #[test]
 fn takes_no_more_than_the_free_lanes() {
     let site = Site::new(4);
-    assert_eq!(prepare(&site.candidates(), &engine(), lanes(1), &HashSet::new(), |_| 0.0).len(), 1);
-    assert!(prepare(&site.candidates(), &engine(), lanes(0), &HashSet::new(), |_| 0.0).is_empty());
+    assert_eq!(
+        plan_prefetch(&site.candidates(), &engine(), lanes(1), &HashSet::new(), |_| 0.0).len(),
+        1
+    );
+    assert!(
+        plan_prefetch(&site.candidates(), &engine(), lanes(0), &HashSet::new(), |_| 0.0).is_empty()
+    );
 }
 
 #[test]
@@ -35,7 +40,10 @@
         site.hold(index, "g", &[]);
         site.hold(index, "h", &[]);
     }
-    assert_eq!(prepare(&site.candidates(), &engine(), lanes(1), &HashSet::new(), |_| 0.0)[0].1, 1);
+    assert_eq!(
+        plan_prefetch(&site.candidates(), &engine(), lanes(1), &HashSet::new(), |_| 0.0)[0].1,
+        1
+    );
 }
 
 #[test]
@@ -46,7 +54,7 @@
         "c" => 2.0,
         _ => 0.0,
     };
-    let planned = prepare(&site.candidates(), &engine(), lanes(8), &HashSet::new(), demand);
+    let planned = plan_prefetch(&site.candidates(), &engine(), lanes(8), &HashSet::new(), demand);
     let names: Vec<&str> = planned.iter().map(|(model, _)| model.as_str()).collect();
     assert_eq!(names, ["f", "c"]);
 }
@@ -54,13 +62,24 @@
 #[test]
 fn leaves_half_of_the_lanes_to_what_callers_ask_for() {
     let site = Site::new(4);
-    let free = Free { lanes: 4, all: 4 };
-    assert_eq!(prepare(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).len(), 2);
-    let free = Free { lanes: 2, all: 4 };
-    assert!(prepare(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).is_empty());
-    assert_eq!(prepare(&site.candidates(), &engine(), free, &HashSet::new(), |_| 1.0).len(), 2);
-    let free = Free { lanes: 1, all: 1 };
-    assert_eq!(prepare(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).len(), 1);
+    let free = PrefetchCapacity { free: 4, total: 4 };
+    assert_eq!(
+        plan_prefetch(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).len(),
+        2
+    );
+    let free = PrefetchCapacity { free: 2, total: 4 };
+    assert!(
+        plan_prefetch(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).is_empty()
+    );
+    assert_eq!(
+        plan_prefetch(&site.candidates(), &engine(), free, &HashSet::new(), |_| 1.0).len(),
+        2
+    );
+    let free = PrefetchCapacity { free: 1, total: 1 };
+    assert_eq!(
+        plan_prefetch(&site.candidates(), &engine(), free, &HashSet::new(), |_| 0.0).len(),
+        1
+    );
 }
 
 #[test]
@@ -75,7 +94,12 @@
         "b" => 50.0,
         _ => 0.0,
     };
-    let planned =
-        prepare(&site.candidates(), &engine(), Free { lanes: 2, all: 4 }, &HashSet::new(), demand);
+    let planned = plan_prefetch(
+        &site.candidates(),
+        &engine(),
+        PrefetchCapacity { free: 2, total: 4 },
+        &HashSet::new(),
+        demand,
+    );
     assert_eq!(planned, [(name("b"), 3)], "one for a new endpoint, none for the others");
 }
--- a/components/placement/src/spread/tests.rs
+++ b/components/placement/src/scale_out/tests.rs
@@ -19,9 +19,9 @@
 
 fn decide(site: &Site, asked: &[bool], needed: usize, expect: Duration) -> Option<usize> {
     let model = id("a");
-    let served = Served { index: 0, expect };
-    let holders = Holders { model: &model, asked, needed, served, target: TARGET };
-    spread(&site.candidates(), &engine(), &holders).map(|wake| wake.index)
+    let served = ChosenEndpoint { index: 0, first_event: expect };
+    let holders = ReplicaStatus { model: &model, asked, needed, served, target: TARGET };
+    scale_out(&site.candidates(), &engine(), &holders).map(|wake| wake.index)
 }
 
 #[test]
@@ -54,11 +54,15 @@
             held += 1;
         } else if *asked {
             coming += 1;
-        } else if one.able {
+        } else if one.can_load {
             free += 1;
         }
     }
-    let late = if tight(&candidates) { candidates[0].fill() > FILL } else { expect > TARGET / 2 };
+    let late = if memory_scarce(&candidates) {
+        candidates[0].fill() > MAX_MODEL_SLOT_SHARE
+    } else {
+        expect > TARGET / 2
+    };
     free > 0 && (held + coming < needed || (late && coming == 0))
 }
 
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -6,7 +6,7 @@
 use admission::{Admission, admit};
 use catalog::{Engine, ModelId};
 use fleet::Tier;
-use placement::{Candidate, Holders, Served, Source};
+use placement::{Candidate, ChosenEndpoint, LoadSource, ReplicaStatus};
 use tokio::time::Instant;
 use units::{EndpointId, ServiceName};
 
@@ -52,7 +52,7 @@
 impl Wanted<'_> {
     /// How long its prompt takes to be read.
     fn work(&self, peers: &mut Peers) -> Duration {
-        self.model.map_or(Duration::ZERO, |id| peers.demand(&id.model).work(self.prompt))
+        self.model.map_or(Duration::ZERO, |id| peers.demand(&id.model).prefill_time(self.prompt))
     }
 }
 
@@ -89,7 +89,7 @@
 pub(crate) async fn place(shared: &Arc<Shared>, wanted: Wanted<'_>) -> Result<Place, NoPlace> {
     if let Some(model) = wanted.model {
         let now = Instant::now();
-        shared.known.lock().demand(&model.model).arrived(wanted.prompt, now);
+        shared.known.lock().demand(&model.model).record_arrival(wanted.prompt, now);
     }
     let mut waiting = None;
     loop {
@@ -163,7 +163,9 @@
         // All have turned it away, or there is none: nothing to wait for.
         return Found::Nobody;
     }
-    if let Some(served) = placement::serve(&candidates, wanted.model, work, &shared.domain) {
+    if let Some(served) =
+        placement::choose_endpoint(&candidates, wanted.model, work, &shared.domain)
+    {
         if let Some(left) = arriving(&candidates, wanted, served) {
             return Found::Later(left);
         }
@@ -178,7 +180,7 @@
             probe::start(shared, &id, &peers);
             return Found::Later(Duration::ZERO);
         }
-        let times = (work, served.expect);
+        let times = (work, served.first_event);
         let place = Place::take(shared, &mut peers, id, wanted.model, times, wanted.apart, now);
         drop(peers);
         if let Some(Ask { id, target, expect, cold }) = more {
@@ -190,27 +192,33 @@
     let (Some(model), Some(engine)) = (wanted.model, wanted.engine) else {
         return Found::Later(Duration::ZERO);
     };
-    let tight = placement::tight(&candidates);
+    let tight = placement::memory_scarce(&candidates);
     let count = peers.waiting.get(&model.model).copied().unwrap_or(0);
     let most = peers.holders(&model.model, engine.slots, (count, work * count), tight);
     // What comes from the weight store is asked for at one endpoint, also while its loader waits for a lane.
-    let copied = placement::copied(&candidates, &model.model);
+    let copied = placement::has_copy(&candidates, &model.model);
     let asked = peers.asked_cold(&model.model).filter(|_| !copied);
     let asked = asked.and_then(|id| ids.iter().position(|one| one == id));
     let (first, list) = match asked {
         Some(index) => (index, &candidates[index..=index]),
         None => (0, &candidates[..]),
     };
-    let asks: Vec<Ask> = placement::wakes(list, model, engine, Source::First, most as usize)
-        .into_iter()
-        .map(|wake| {
-            // The model first; all adapters of it wait for the same load.
-            let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
-            let target = ModelId { model: model.model.clone(), adapter };
-            let cold = wake.tier == Tier::Store;
-            Ask { id: ids[first + wake.index].clone(), target, expect: wake.expect, cold }
-        })
-        .collect();
+    let asks: Vec<Ask> = placement::choose_load_targets(
+        list,
+        model,
+        engine,
+        LoadSource::CopiesOrStore,
+        most as usize,
+    )
+    .into_iter()
+    .map(|wake| {
+        // The model first; all adapters of it wait for the same load.
+        let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
+        let target = ModelId { model: model.model.clone(), adapter };
+        let cold = wake.tier == Tier::Store;
+        Ask { id: ids[first + wake.index].clone(), target, expect: wake.ready_in, cold }
+    })
+    .collect();
     if let Some(first) = asks.first() {
         // A holder that takes requests again before a copy is elsewhere is waited for.
         let back = peers.holder_back(&model.model, now).filter(|left| *left <= first.expect);
@@ -240,16 +248,20 @@
     };
     let candidates: Vec<_> =
         peers.map.values().filter(usable).map(|peer| peer.candidate(false, now)).collect();
-    placement::serve(&candidates, wanted.model, work, &shared.domain)
-        .is_some_and(|served| served.expect < within)
+    placement::choose_endpoint(&candidates, wanted.model, work, &shared.domain)
+        .is_some_and(|served| served.first_event < within)
 }
 
 /// When another holder will be there, if the request is late at those that are and in time at that one.
-fn arriving(candidates: &[Candidate<'_>], wanted: &Wanted<'_>, served: Served) -> Option<Duration> {
+fn arriving(
+    candidates: &[Candidate<'_>],
+    wanted: &Wanted<'_>,
+    served: ChosenEndpoint,
+) -> Option<Duration> {
     let model = &wanted.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
     let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
-    (served.expect > wanted.target && left < served.expect / 2).then_some(left)
+    (served.first_event > wanted.target && left < served.first_event / 2).then_some(left)
 }
 
 /// One more endpoint for the model of a request that this one serves.
@@ -257,7 +269,7 @@
     peers: &Peers,
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    served: Served,
+    served: ChosenEndpoint,
 ) -> Option<Ask> {
     let (model, engine) = wanted.model.zip(wanted.engine)?;
     let base = ModelId { model: model.model.clone(), adapter: None };
@@ -265,11 +277,11 @@
         peers.map.get(&one.endpoint.id).is_some_and(|peer| peer.wakes.contains_key(&base))
     };
     let asked: Vec<bool> = candidates.iter().map(was_asked).collect();
-    let tight = placement::tight(candidates);
+    let tight = placement::memory_scarce(candidates);
     let needed = peers.holders(&base.model, engine.slots, NOBODY, tight) as usize;
     let target = wanted.target;
-    let holders = Holders { model: &base, asked: &asked, needed, served, target };
-    let wake = placement::spread(candidates, engine, &holders)?;
+    let holders = ReplicaStatus { model: &base, asked: &asked, needed, served, target };
+    let wake = placement::scale_out(candidates, engine, &holders)?;
     let id = candidates[wake.index].endpoint.id.clone();
-    Some(Ask { id, target: base, expect: wake.expect, cold: wake.tier == Tier::Store })
+    Some(Ask { id, target: base, expect: wake.ready_in, cold: wake.tier == Tier::Store })
 }
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -7,7 +7,7 @@
 use catalog::ModelId;
 use control::{Load, State};
 use fleet::{Endpoint, Holdings, Stage};
-use placement::{Ahead, Candidate, Trouble};
+use placement::{Candidate, PromptBacklog, RecentFailures};
 use quarantine::Stamp;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -100,13 +100,13 @@
     pub(crate) told: u32,
     pub(crate) running: u32,
     /// Prompts of this router's requests that it has still to read.
-    pub(crate) ahead: Ahead,
+    pub(crate) ahead: PromptBacklog,
     pub(crate) uses: HashMap<ModelName, Usage>,
     pub(crate) paused: Option<Instant>,
     /// Failures in a row.
     pub(crate) failures: u32,
     /// Failures of late.
-    pub(crate) trouble: Trouble,
+    pub(crate) trouble: RecentFailures,
     /// What its loader has been asked for.
     pub(crate) wakes: HashMap<ModelId, Asks>,
     pub(crate) refused: HashMap<ModelId, Instant>,
@@ -129,11 +129,11 @@
             state: None,
             told: 0,
             running: 0,
-            ahead: Ahead::default(),
+            ahead: PromptBacklog::default(),
             uses: HashMap::new(),
             paused: None,
             failures: 0,
-            trouble: Trouble::default(),
+            trouble: RecentFailures::default(),
             wakes: HashMap::new(),
             refused: HashMap::new(),
             task: None,
@@ -292,12 +292,12 @@
             endpoint: &self.endpoint,
             holdings: self.holdings(now),
             running: self.running,
-            total: self.total(),
-            ahead: self.ahead.all(self.routers(), now),
-            failures: self.trouble.failures(now),
-            room: state.map_or(Duration::ZERO, |state| state.room),
-            waiting: state.map_or(0, |state| state.load.waiting),
-            able,
+            total_running: self.total(),
+            backlog: self.ahead.total(self.routers(), now),
+            failures: self.trouble.count(now),
+            room_wait: state.map_or(Duration::ZERO, |state| state.room),
+            queued_models: state.map_or(0, |state| state.load.waiting),
+            can_load: able,
         }
     }
 
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -118,7 +118,7 @@
     let load = Load { waiting: 1, running: 9, routers: 3 };
     assert!(peer.hear_same(load, later));
     assert!(peer.able(later));
-    assert_eq!((peer.routers(), peer.candidate(true, later).waiting), (3, 1));
+    assert_eq!((peer.routers(), peer.candidate(true, later).queued_models), (3, 1));
     peer.list(entry(200), later);
     assert!(!peer.hear_same(load, later));
     assert!(peer.state.is_none());
--- a/components/router/src/known.rs
+++ b/components/router/src/known.rs
@@ -9,7 +9,7 @@
 use control::{Load, State, Use};
 use events::{Event, emit, millis};
 use fleet::Tier;
-use placement::{Demand, Pressure};
+use placement::{Demand, ScalingInputs};
 use platform::Notice;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -176,7 +176,7 @@
         if let Some(peer) = peers.map.get_mut(id).filter(|peer| peer.lives(life)) {
             peer.failures = 0;
             peer.paused = None;
-            peer.trouble.worked(Instant::now());
+            peer.trouble.record_success(Instant::now());
         }
     }
 
@@ -212,7 +212,7 @@
         let Some(peer) = self.map.get_mut(id) else { return };
         let pause = (PAUSE * (1 << peer.failures.min(4))).min(LONGEST);
         peer.failures += 1;
-        peer.trouble.failed(Instant::now());
+        peer.trouble.record_failure(Instant::now());
         peer.paused = Some(Instant::now() + pause);
         let pause_ms = millis(pause);
         emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
@@ -247,7 +247,7 @@
 
     /// Requests a second that come for a model here.
     pub(crate) fn wanted(&self, model: &ModelName, now: Instant) -> f64 {
-        self.demands.get(model).map_or(0.0, |demand| demand.arrivals(now))
+        self.demands.get(model).map_or(0.0, |demand| demand.request_rate(now))
     }
 
     /// How many endpoints should hold a model, of which so much work waits at this router; `slots` are those of one,
@@ -261,9 +261,15 @@
     ) -> u32 {
         let uses = self.map.values().filter_map(|peer| peer.uses.get(model));
         let running = uses.map(|usage| usage.running).sum();
-        let pressure = Pressure { routers: self.routers(), running, slots, waiting, tight };
+        let pressure = ScalingInputs {
+            routers: self.routers(),
+            running,
+            slots,
+            waiting,
+            memory_scarce: tight,
+        };
         let demand = self.demands.get(model).copied().unwrap_or_default();
-        demand.holders(&pressure, Instant::now())
+        demand.replicas_needed(&pressure, Instant::now())
     }
 
     /// Routers, as far as loaders hear them; at least this one.
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -136,7 +136,7 @@
         if !work.is_zero()
             && let Some(peer) = self.peer(peers)
         {
-            peer.ahead.done(work, now);
+            peer.ahead.remove(work, now);
         }
     }
 
--- a/components/router/src/prepare.rs
+++ b/components/router/src/prepare.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use placement::{Candidate, Free};
+use placement::{Candidate, PrefetchCapacity};
 use tokio::time::Instant;
 use units::{EndpointId, ModelName, ServiceName};
 
@@ -51,10 +51,10 @@
             peer.candidate(able, now)
         })
         .collect();
-    let free = Free { lanes: peers.cold.free(now), all: peers.cold.all() };
+    let free = PrefetchCapacity { free: peers.cold.free(now), total: peers.cold.all() };
     let asked = peers.map.values().flat_map(|peer| peer.wakes.keys().map(|id| &id.model)).collect();
     let demand = |model: &ModelName| peers.wanted(model, now);
-    let planned = placement::prepare(&candidates, engine, free, &asked, demand);
+    let planned = placement::plan_prefetch(&candidates, engine, free, &asked, demand);
     planned.into_iter().map(|(name, i)| (name, candidates[i].endpoint.id.clone())).collect()
 }
 
