--- a/components/admission/src/load_concurrency.rs
+++ b/components/admission/src/load_concurrency.rs
@@ -1,84 +1,87 @@
-//! How many loads the weight store carries at full speed.
+//! Learns how many loads the weight store serves at full speed.
 //!
-//! Load pattern: many models without a copy are wanted at once. Beyond some number of loads each becomes slower in
-//! proportion, so that more at once bring nothing sooner and the first one later. The number is not known
-//! beforehand: it is learned from how long loads take beside others.
+//! Load pattern: many models without a copy are requested at once. Beyond some number of concurrent loads the store
+//! slows all of them down in proportion, so that further loads finish no model sooner and delay the first one. The
+//! number is not known beforehand; it is learned from how long loads take while others run.
 
 use std::time::Duration;
 
-/// Loads at once before anything is known: two show whether there is room for more without costing much if not.
-const FIRST: u32 = 2;
-/// A load that takes up to this many times its own length has had a lane to itself.
-const FREE: f64 = 1.25;
-/// More at once is never tried.
-const MOST: u32 = 32;
+/// Limit before any load has been measured: two concurrent loads show whether the store has room for more, and cost
+/// little if it has not.
+const INITIAL_LIMIT: u32 = 2;
+/// A load that takes up to this many times as long as it takes alone ran at full speed.
+const FULL_SPEED_STRETCH: f64 = 1.25;
+/// The limit never exceeds this number of loads.
+const MAX_LIMIT: u32 = 32;
 
-/// How many loads ran at once while one did, itself included.
+/// The number of loads that ran at once during one load, itself included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConcurrentLoads {
-    /// The fewest.
+    /// The smallest number.
     pub min: u32,
-    /// The most.
+    /// The largest number.
     pub max: u32,
 }
 
 impl ConcurrentLoads {
-    /// So many all the time.
+    /// The same number of loads ran all the time.
     pub fn steady(count: u32) -> Self {
         Self { min: count, max: count }
     }
 
-    /// So many run now.
+    /// Records the number of loads that run now.
     pub fn record(&mut self, count: u32) {
         self.min = self.min.min(count);
         self.max = self.max.max(count);
     }
 }
 
-/// The number learned so far.
+/// The learned limit on concurrent loads from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadConcurrency {
-    count: u32,
-    /// Whether more at once than it carries were ever seen.
-    bounded: bool,
+    limit: u32,
+    /// Whether the store has ever been slowed down by too many concurrent loads.
+    saturated: bool,
 }
 
 impl Default for LoadConcurrency {
     fn default() -> Self {
-        Self { count: FIRST, bounded: false }
+        Self { limit: INITIAL_LIMIT, saturated: false }
     }
 }
 
 impl LoadConcurrency {
-    /// Loads that may run at once.
+    /// The number of loads that may run at once.
     pub fn limit(self) -> u32 {
-        self.count
+        self.limit
     }
 
-    /// Learns from a load that took this long while others ran, where one alone takes `alone`.
-    pub fn learn(&mut self, took: Duration, alone: Duration, beside: ConcurrentLoads) {
-        let ConcurrentLoads { min, max } = beside;
+    /// Updates the limit from a load that took `took` while others ran, and takes `alone` when it runs alone.
+    pub fn learn(&mut self, took: Duration, alone: Duration, concurrent: ConcurrentLoads) {
+        let ConcurrentLoads { min, max } = concurrent;
         if alone.is_zero() || min == 0 {
             return;
         }
         let stretch = took.as_secs_f64() / alone.as_secs_f64();
-        if stretch <= FREE {
-            // Those that began in its last moments say nothing of the store's speed.
-            let beside = min;
-            if beside >= self.count {
-                // Once the bound is known it is only felt for, and before that approached in steps: with twice as many
-                // each would take up to twice as long, those included that most wait for.
-                let more = match self.bounded {
+        if stretch <= FULL_SPEED_STRETCH {
+            // Loads that started shortly before this one ended show nothing about the speed of the store, so only the
+            // smallest number counts.
+            let concurrent = min;
+            if concurrent >= self.limit {
+                // After the store has been saturated once, the limit grows by one load at a time. Before that it grows
+                // faster, but after the first doubling only by half: with twice as many loads as the store serves at
+                // full speed each takes up to twice as long, including those that most requests wait for.
+                let increase = match self.saturated {
                     true => 1,
-                    false if beside <= FIRST => beside,
-                    false => beside.div_ceil(2),
+                    false if concurrent <= INITIAL_LIMIT => concurrent,
+                    false => concurrent.div_ceil(2),
                 };
-                self.count = (beside + more).min(MOST);
+                self.limit = (concurrent + increase).min(MAX_LIMIT);
             }
         } else if max > 1 {
-            let carried = f64::from(min + max) / 2.0 / stretch;
-            self.count = (carried.round() as u32).clamp(1, self.count.max(1));
-            self.bounded = true;
+            let at_full_speed = f64::from(min + max) / 2.0 / stretch;
+            self.limit = (at_full_speed.round() as u32).clamp(1, self.limit.max(1));
+            self.saturated = true;
         }
     }
 }
