--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -13,7 +13,7 @@
 use units::StorePosition;
 use web::Body;
 
-use crate::guard::{Permit, wall_clock};
+use crate::guard::{SendPermit, wall_clock};
 use crate::shared::Shared;
 
 /// How long a read waits for a record while no endpoint has ended of late: each call is paid for.
@@ -226,7 +226,7 @@
     shared: &Arc<Shared>,
     digest: &Digest,
     number: u32,
-) -> Option<Permit> {
+) -> Option<SendPermit> {
     let read: Option<StorePosition> = *shared.ends_read.borrow();
     let at: Stamp = wall_clock();
     let note = Note::Trial(Trial { digest: *digest, number, at });
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -37,7 +37,7 @@
 
 /// What an endpoint has said of itself in one of its lives.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct EndpointNotice {
+pub(crate) struct ReceivedHints {
     /// It leaves. Nothing takes that back within this life: neither the list, which may be older, nor a loader or
     /// another router, who may know less.
     pub(crate) leaving: bool,
@@ -47,7 +47,7 @@
     pub(crate) heard: Stamp,
 }
 
-impl EndpointNotice {
+impl ReceivedHints {
     /// What it has said in all, after it has said something more.
     pub(crate) fn merge(self, new: Self) -> Self {
         Self {
@@ -94,7 +94,7 @@
     pub(crate) poll_wait: Duration,
     /// Set while its entry is missing.
     pub(crate) missing: Option<MissingEntry>,
-    pub(crate) notice: EndpointNotice,
+    pub(crate) hints: ReceivedHints,
     pub(crate) state: Option<(State, Instant)>,
     /// Requests of this router when its loader last said how many there are of all.
     pub(crate) running_baseline: u32,
@@ -125,7 +125,7 @@
             list_position: StorePosition::default(),
             poll_wait: Duration::ZERO,
             missing: None,
-            notice: EndpointNotice::default(),
+            hints: ReceivedHints::default(),
             state: None,
             running_baseline: 0,
             running: 0,
@@ -153,9 +153,9 @@
         self.listed_at = now;
         if other || endpoint.addr != self.endpoint.addr {
             // One that has only moved is as much about to leave as before.
-            let said = if other { self.notice_in(endpoint.life) } else { self.notice };
+            let said = if other { self.hints_in(endpoint.life) } else { self.hints };
             self.restart(endpoint, now);
-            self.notice = said;
+            self.hints = said;
             return true;
         }
         let life = endpoint.life.or(self.endpoint.life);
@@ -172,12 +172,12 @@
         }
         let life = state.life.or(self.endpoint.life);
         if other {
-            let (said, holdings) = (self.notice_in(life), Some(state.holdings.clone()));
+            let (said, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
             self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
-            self.notice = said;
+            self.hints = said;
         }
         self.endpoint.life = life;
-        self.notice.leaving |= state.draining;
+        self.hints.leaving |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
         other
@@ -193,8 +193,8 @@
     }
 
     /// What it has said in a life that begins to be known.
-    fn notice_in(&self, life: Option<Life>) -> EndpointNotice {
-        if self.notice.from_incarnation(life) { self.notice } else { EndpointNotice::default() }
+    fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
+        if self.hints.from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether it is in this life, as far as anybody says.
@@ -225,18 +225,18 @@
 
     /// Whether it takes new work, as far as the list, its loader and it itself say.
     pub(crate) fn accepts_work(&self) -> bool {
-        self.endpoint.stage == Stage::Ready && !self.notice.leaving
+        self.endpoint.stage == Stage::Ready && !self.hints.leaving
     }
 
     /// For how long it wants nothing from this router, if it said so.
     pub(crate) fn backoff_left(&self, now: Instant) -> Option<Duration> {
-        let left = self.notice.until?.saturating_duration_since(now);
+        let left = self.hints.until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// The endpoint, as other routers are told of it.
     pub(crate) fn announced_entry(&self) -> Endpoint {
-        let leaves = self.notice.leaving && self.endpoint.stage == Stage::Ready;
+        let leaves = self.hints.leaving && self.endpoint.stage == Stage::Ready;
         let stage = if leaves { Stage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -128,7 +128,7 @@
 async fn what_an_endpoint_said_of_its_leaving_holds_for_its_life_whatever_else_is_heard() {
     let now = Instant::now();
     let mut peer = troubled(now);
-    peer.notice.leaving = true;
+    peer.hints.leaving = true;
     peer.apply_entry(entry(100), now);
     assert!(!peer.accepts_work(), "an older entry");
     peer.apply_state(state(100, &["a"]), now);
@@ -147,7 +147,7 @@
     let until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
         let mut peer = troubled(now);
-        peer.notice = EndpointNotice { leaving: true, until, heard: Stamp(300) };
+        peer.hints = ReceivedHints { leaving: true, until, heard: Stamp(300) };
         if by_loader {
             peer.apply_state(state(200, &[]), now);
         } else {
--- a/components/router/src/flight.rs
+++ b/components/router/src/flight.rs
@@ -17,7 +17,7 @@
 use crate::crash_check;
 use crate::crash_records;
 use crate::exchange::{self, Answer, Outgoing, Patience, Sent};
-use crate::guard::{Permit, Rejection};
+use crate::guard::{Rejection, SendPermit};
 use crate::place::Place;
 use crate::pool::ConnectionPool;
 use crate::shared::Shared;
@@ -68,7 +68,7 @@
     /// What it takes from the limit of its workspace.
     pub(crate) charge: Option<Charge>,
     /// Leave to send it.
-    pub(crate) pass: Option<Permit>,
+    pub(crate) pass: Option<SendPermit>,
 }
 
 impl Flight {
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -94,7 +94,7 @@
 
 /// Leave to send a request.
 #[derive(Debug)]
-pub(crate) struct Permit {
+pub(crate) struct SendPermit {
     /// Set if it was at an end of an endpoint.
     turn: Option<Turn>,
     /// Whether it is kept from others that were at ends of endpoints.
@@ -127,9 +127,9 @@
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         digest: &Digest,
-        held: Option<Permit>,
+        held: Option<SendPermit>,
         until: Instant,
-    ) -> Result<Permit, Rejection> {
+    ) -> Result<SendPermit, Rejection> {
         let mut turn = match held {
             Some(pass) if pass.trial => return Ok(pass),
             held => held.and_then(|pass| pass.turn),
@@ -137,10 +137,10 @@
         loop {
             let changed = self.changed.notified();
             match self.decide(digest, turn.is_some()) {
-                Decision::Free => return Ok(Permit { turn, isolated: false, trial: false }),
+                Decision::Free => return Ok(SendPermit { turn, isolated: false, trial: false }),
                 Decision::Turn { isolated } => {
                     turn.get_or_insert_with(|| self.turn(digest));
-                    return Ok(Permit { turn, isolated, trial: false });
+                    return Ok(SendPermit { turn, isolated, trial: false });
                 }
                 Decision::Rejected(rejection) => return Err(rejection),
                 Decision::Wait => {}
@@ -175,7 +175,7 @@
     }
 
     /// Whether a request that has leave may still be sent, after what has become known since.
-    pub(crate) fn allows(&self, digest: &Digest, pass: &Permit) -> bool {
+    pub(crate) fn allows(&self, digest: &Digest, pass: &SendPermit) -> bool {
         if pass.trial {
             return true;
         }
@@ -190,9 +190,9 @@
     }
 
     /// Leave to try a suspect; whoever asks has agreed on it with all routers.
-    pub(crate) fn trial_permit(self: &Arc<Self>, digest: &Digest) -> Option<Permit> {
+    pub(crate) fn trial_permit(self: &Arc<Self>, digest: &Digest) -> Option<SendPermit> {
         let first = self.lock().turns.insert(*digest);
-        first.then(|| Permit { turn: Some(self.turn(digest)), isolated: true, trial: true })
+        first.then(|| SendPermit { turn: Some(self.turn(digest)), isolated: true, trial: true })
     }
 
     /// A life of an endpoint may have ended: what it had is not sent until that is known.
--- a/components/router/src/guard/tests.rs
+++ b/components/router/src/guard/tests.rs
@@ -4,7 +4,7 @@
 use quarantine::{Death, Digest, Note, Stamp};
 use tokio::time::Instant;
 
-use super::{CrashGuard, Permit, Rejection, wall_clock};
+use super::{CrashGuard, Rejection, SendPermit, wall_clock};
 use crate::pool::ConnectionPool;
 
 const LONG: Duration = Duration::from_secs(60);
@@ -30,7 +30,7 @@
 }
 
 /// What becomes of a request, if it is not to wait.
-async fn try_enter(guard: &Arc<CrashGuard>, name: &str) -> Option<Result<Permit, Rejection>> {
+async fn try_enter(guard: &Arc<CrashGuard>, name: &str) -> Option<Result<SendPermit, Rejection>> {
     let digest = digest(name);
     let entered = guard.acquire(&digest, None, Instant::now() + LONG);
     tokio::time::timeout(Duration::from_millis(1), entered).await.ok()
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -179,10 +179,10 @@
         let stage = if endpoint.stage == Stage::Ready { "ready" } else { "draining" };
         let id = endpoint.id.clone();
         let addr = endpoint.addr.to_string();
-        let said = self.past_notice(&id, endpoint.life);
+        let said = self.past_hints(&id, endpoint.life);
         let before = match self.map.entry(id.clone()) {
             Entry::Vacant(place) => {
-                place.insert(TrackedEndpoint::new(endpoint, now)).notice = said;
+                place.insert(TrackedEndpoint::new(endpoint, now)).hints = said;
                 None
             }
             Entry::Occupied(mut place) => {
@@ -214,7 +214,7 @@
 
     fn remove(&mut self, id: &EndpointId, cause: &str) {
         let Some(peer) = self.map.remove(id) else { return };
-        self.remember_notice(id, peer.endpoint.life, peer.notice);
+        self.remember_hints(id, peer.endpoint.life, peer.hints);
         self.cold.forget(id);
         if let Some(task) = peer.loader_task {
             task.abort();
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -108,7 +108,7 @@
         }
         let same = |peer: &TrackedEndpoint| Arc::ptr_eq(&peer.pool, &self.pool);
         let notice = platform::read_notice(status, headers);
-        self.shared.known.apply_notice(&self.id, self.life, notice, same);
+        self.shared.known.apply_hints(&self.id, self.life, notice, same);
     }
 
     /// Notes that the endpoint has begun to run the request.
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -16,7 +16,7 @@
 use units::{EndpointId, Life, ModelName, ServiceName, StorePosition};
 
 use crate::cold::ColdLoads;
-use crate::endpoint::{EndpointNotice, TrackedEndpoint, Usage};
+use crate::endpoint::{ReceivedHints, TrackedEndpoint, Usage};
 use crate::guard::wall_clock;
 use crate::pool::ConnectionPool;
 
@@ -57,7 +57,7 @@
     /// How far the list has been read, by this router or one that told it.
     pub(crate) list_position: StorePosition,
     /// What endpoints that are not listed any more said of themselves: an entry may come back that is older than that.
-    past_notices: VecDeque<(EndpointId, Option<Life>, EndpointNotice)>,
+    past_hints: VecDeque<(EndpointId, Option<Life>, ReceivedHints)>,
 }
 
 /// All endpoints, shared by the tasks of a router.
@@ -126,7 +126,7 @@
 
     /// Takes what an answer says of its endpoint, in a life as far as that is known; `same` says whether that is the one that is
     /// listed now.
-    pub(crate) fn apply_notice(
+    pub(crate) fn apply_hints(
         &self,
         id: &EndpointId,
         life: Option<Life>,
@@ -138,19 +138,19 @@
         }
         let after = notice.after.map(|after| after.min(AWAY));
         let until = after.map(|after| Instant::now() + after);
-        let new = EndpointNotice { leaving: notice.leaving, until, heard: wall_clock() };
+        let new = ReceivedHints { leaving: notice.leaving, until, heard: wall_clock() };
         let mut peers = self.lock();
         let Some(peer) = peers.map.get_mut(id) else {
             // An older entry may come back.
-            let said = peers.past_notice(id, life).merge(new);
-            return peers.remember_notice(id, life, said);
+            let said = peers.past_hints(id, life).merge(new);
+            return peers.remember_hints(id, life, said);
         };
         if !same(peer) {
             return;
         }
         let stayed = peer.accepts_work();
-        peer.notice = peer.notice.merge(new);
-        if peer.notice.leaving {
+        peer.hints = peer.hints.merge(new);
+        if peer.hints.leaving {
             peer.pool.retire();
         }
         if stayed && notice.leaving {
@@ -332,24 +332,24 @@
     }
 
     /// Remembers what an endpoint has said that is not listed any more.
-    pub(crate) fn remember_notice(
+    pub(crate) fn remember_hints(
         &mut self,
         id: &EndpointId,
         life: Option<Life>,
-        said: EndpointNotice,
+        said: ReceivedHints,
     ) {
-        if said == EndpointNotice::default() {
+        if said == ReceivedHints::default() {
             return;
         }
-        if self.past_notices.len() == LEFT {
-            self.past_notices.pop_front();
+        if self.past_hints.len() == LEFT {
+            self.past_hints.pop_front();
         }
-        self.past_notices.push_back((id.clone(), life, said));
+        self.past_hints.push_back((id.clone(), life, said));
     }
 
     /// What an endpoint has said in this life, if it was listed before.
-    pub(crate) fn past_notice(&self, id: &EndpointId, life: Option<Life>) -> EndpointNotice {
-        let mut all = self.past_notices.iter().rev();
+    pub(crate) fn past_hints(&self, id: &EndpointId, life: Option<Life>) -> ReceivedHints {
+        let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, said)| {
             other == id && (!Life::differ(*then, life) || said.from_incarnation(life))
         });
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -232,7 +232,7 @@
         let same = |peer: &TrackedEndpoint| {
             peer.endpoint.addr == endpoint && peer.same_incarnation(report.life)
         };
-        self.known.apply_notice(id, report.life, report.notice, same);
+        self.known.apply_hints(id, report.life, report.notice, same);
         Ok(())
     }
 
@@ -248,7 +248,7 @@
         match platform::check_health(&self.client, endpoint.addr, path, id, limit).await {
             Ok((health, notice)) => {
                 let same = |peer: &TrackedEndpoint| Arc::ptr_eq(&peer.pool, &pool);
-                self.known.apply_notice(id, endpoint.life, notice, same);
+                self.known.apply_hints(id, endpoint.life, notice, same);
                 Some(health)
             }
             Err(error) => {
