--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -24,7 +24,7 @@
 use crate::shared::{Shared, back_after};
 
 /// The store is not asked more often than this about keys that nobody knows.
-pub(crate) const ASK_PACE: Duration = Duration::from_millis(1_000);
+pub(crate) const MIN_READ_INTERVAL: Duration = Duration::from_millis(1_000);
 /// So many requests wait for that at a time; others are told to come back.
 const WAITING: usize = 64;
 /// The longest that they wait: a read of the store takes some milliseconds.
@@ -42,7 +42,7 @@
     waiting: AtomicUsize,
     denied: Mutex<VecDeque<DeniedKey>>,
     /// Told when the store is to be asked at once.
-    pub(crate) asked: Notify,
+    pub(crate) read_requested: Notify,
 }
 
 /// A caller that was let in.
@@ -72,24 +72,24 @@
     }
 
     /// Takes that a read of the store which was sent then showed that there is no newer configuration.
-    pub(crate) fn prove(&self, sent: Moment) {
+    pub(crate) fn record_read(&self, sent: Moment) {
         self.proof.send_modify(|proof| proof.extend(sent));
     }
 
     /// Takes the word of another router, asked at a moment, on the configuration that is in force here.
-    pub(crate) fn prove_by_word(&self, sent: Moment, age: Duration) {
+    pub(crate) fn record_peer_read(&self, sent: Moment, age: Duration) {
         self.proof.send_modify(|proof| proof.extend_by_word(sent, age));
     }
 
     /// What another router may take for proved of a version.
-    pub(crate) fn proved(&self, catalog: &Catalog) -> Option<Proved> {
+    pub(crate) fn confirmed_version(&self, catalog: &Catalog) -> Option<Proved> {
         catalog.workspaces.as_ref()?;
         let age = self.proof.borrow().age(Moment::now())?;
         Some(Proved { version: catalog.version, age })
     }
 
     /// Remembers the keys that a new version takes away.
-    pub(crate) fn compare(&self, before: Option<&Workspaces>, after: Option<&Workspaces>) {
+    pub(crate) fn update_revoked(&self, before: Option<&Workspaces>, after: Option<&Workspaces>) {
         let holds = |key: &KeyDigest| after.is_some_and(|after| after.holder(key).is_some());
         let mut revoked = self.revoked();
         revoked.retain(|key| !holds(key));
@@ -139,7 +139,7 @@
             return false;
         }
         let mut proof = self.proof.subscribe();
-        self.asked.notify_one();
+        self.read_requested.notify_one();
         let read = proof.wait_for(|proof| proof.covers(moment));
         let read = tokio::time::timeout_at(until, read).await.is_ok();
         self.waiting.fetch_sub(1, Ordering::Relaxed);
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -30,7 +30,7 @@
 
 impl ColdLoads {
     /// Learns from what an endpoint loads now how many loads the weight store carries at once.
-    pub(crate) fn learn(
+    pub(crate) fn update(
         &mut self,
         id: &EndpointId,
         holdings: &Holdings,
@@ -67,7 +67,7 @@
     }
 
     /// A loader is asked for a model that comes from the weight store.
-    pub(crate) fn ask(&mut self, id: &EndpointId, model: &ModelName, now: Instant) {
+    pub(crate) fn add_request(&mut self, id: &EndpointId, model: &ModelName, now: Instant) {
         self.asked.retain(|_, at| now - *at < ASKED);
         let key = (id.clone(), model.clone());
         if !self.loads.contains_key(&key) {
@@ -76,24 +76,24 @@
     }
 
     /// A loader has answered for a model.
-    pub(crate) fn answered(&mut self, id: &EndpointId, model: &ModelName) {
+    pub(crate) fn remove_request(&mut self, id: &EndpointId, model: &ModelName) {
         self.asked.remove(&(id.clone(), model.clone()));
     }
 
     /// An endpoint is gone, and its loads with it.
-    pub(crate) fn forget(&mut self, id: &EndpointId) {
+    pub(crate) fn remove_endpoint(&mut self, id: &EndpointId) {
         self.loads.retain(|(endpoint, _), _| endpoint != id);
         self.asked.retain(|(endpoint, _), _| endpoint != id);
     }
 
     /// Lanes of the weight store that are free.
-    pub(crate) fn free(&self, now: Instant) -> usize {
+    pub(crate) fn available_permits(&self, now: Instant) -> usize {
         let asked = self.asked.values().filter(|at| now - **at < ASKED).count();
         (self.lanes.count() as usize).saturating_sub(self.loads.len() + asked)
     }
 
     /// Lanes of the weight store.
-    pub(crate) fn all(&self) -> usize {
+    pub(crate) fn permit_limit(&self) -> usize {
         self.lanes.count() as usize
     }
 }
--- a/components/router/src/ended.rs
+++ b/components/router/src/ended.rs
@@ -194,7 +194,7 @@
             }
         };
     }
-    match shared.health(id, PATIENCE).await {
+    match shared.check_health(id, PATIENCE).await {
         Some(Health::Other) => Answer::Other,
         // It may have started again under its id; the list tells then.
         Some(Health::Well | Health::Full | Health::Unfit) => Answer::Same,
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use units::{Revision, Span};
 
-use crate::access::ASK_PACE;
+use crate::access::MIN_READ_INTERVAL;
 use crate::list::{LAPSE, Listed};
 use crate::shared::{Feed, Shared};
 use crate::{missing, peer};
@@ -110,7 +110,7 @@
             }
         };
         if std::mem::take(&mut asked) {
-            ask_next = Instant::now() + ASK_PACE;
+            ask_next = Instant::now() + MIN_READ_INTERVAL;
         }
         let bounds = shared.settings.borrow().bounds;
         match next {
@@ -119,13 +119,13 @@
                 let fresh = take_config(&shared, batch, &mut newest);
                 // A store that has less than what is in force, or nothing that can be read, proves nothing.
                 if newest.is_some() && newest == shared.current().map(|current| current.version) {
-                    shared.access.prove(sent);
+                    shared.access.record_read(sent);
                 }
-                shared.read_store(Feed::Configuration, true);
+                shared.record_store_read(Feed::Configuration, true);
                 tokio::time::sleep(if fresh { CONFIG_PACE } else { Duration::ZERO }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Configuration, false);
+                shared.record_store_read(Feed::Configuration, false);
                 contact.failed(&error, longest(&shared, bounds.apply)).await;
             }
         }
@@ -149,7 +149,7 @@
 /// Waits for a request whose key may be newer than what has been read, from a moment on.
 async fn key_asked(shared: &Shared, from: Instant) {
     tokio::time::sleep_until(from).await;
-    shared.access.asked.notified().await;
+    shared.access.read_requested.notified().await;
 }
 
 /// `newest` is the version of the newest record, as far as that can be read.
@@ -188,7 +188,7 @@
     }
     let routes = catalog.routes().count();
     let known = current.as_ref().and_then(|current| current.workspaces.as_ref());
-    shared.access.compare(known, catalog.workspaces.as_ref());
+    shared.access.update_revoked(known, catalog.workspaces.as_ref());
     shared.catalog.send_replace(Some(Arc::new(catalog)));
     emit(&Event::Configured { version, before, routes });
     shared.known.changed.notify_waiters();
@@ -217,12 +217,12 @@
                 let until = contact.returned.map(|returned| returned + LAPSE);
                 let more = batch.more;
                 take_members(&shared, batch, until, &mut foreign);
-                shared.read_store(Feed::Membership, true);
+                shared.record_store_read(Feed::Membership, true);
                 // What is left of a long absence is not put off.
                 tokio::time::sleep(if more { Duration::ZERO } else { LIST_PACE }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Membership, false);
+                shared.record_store_read(Feed::Membership, false);
                 contact.failed(&error, longest(&shared, bounds.drain)).await;
             }
         }
--- a/components/router/src/known.rs
+++ b/components/router/src/known.rs
@@ -87,7 +87,7 @@
         }
         let peers = &mut *peers;
         if let Some((state, _)) = peers.map.get(id).and_then(|peer| peer.state.as_ref()) {
-            peers.cold.learn(id, &state.holdings, engine, now);
+            peers.cold.update(id, &state.holdings, engine, now);
         }
         self.changed.notify_waiters();
     }
@@ -341,7 +341,7 @@
 
     /// Forgets what hangs together with an earlier life of an endpoint.
     pub(crate) fn restarted(&mut self, id: &EndpointId) {
-        self.cold.forget(id);
+        self.cold.remove_endpoint(id);
         for urged in self.urged.values_mut() {
             urged.retain(|(other, _)| other != id);
         }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/ledger.rs
@@ -53,7 +53,7 @@
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.read));
+                shared.crash_records_position.send_replace(Some(batch.read));
                 let empty = batch.news.is_empty() && !batch.whole;
                 if batch.restored {
                     write_again(&shared, &batch.news);
@@ -66,7 +66,7 @@
             }
             Err(error) => {
                 lost(&mut away, &error);
-                shared.ends_read.send_replace(None);
+                shared.crash_records_position.send_replace(None);
                 exchange(&shared).await;
                 tokio::time::sleep(RETRY).await;
             }
@@ -223,7 +223,7 @@
 
 /// Agrees with all routers that this one tries a suspect now: only one can write right behind what it has read.
 pub(crate) async fn claim(shared: &Arc<Shared>, digest: &Digest, number: u32) -> Option<Pass> {
-    let read: Option<StorePosition> = *shared.ends_read.borrow();
+    let read: Option<StorePosition> = *shared.crash_records_position.borrow();
     let at: Stamp = stamp();
     let note = Note::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -211,7 +211,7 @@
     fn remove(&mut self, id: &EndpointId, cause: &str) {
         let Some(peer) = self.map.remove(id) else { return };
         self.keep_said(id, peer.endpoint.life, peer.said);
-        self.cold.forget(id);
+        self.cold.remove_endpoint(id);
         if let Some(task) = peer.task {
             task.abort();
         }
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -34,7 +34,7 @@
     let mut pause = PAUSE;
     // An entry that was back and is missing once more has a task of its own.
     while shared.known.missing_until(&id) == Some(until) {
-        let health = shared.health(&id, PATIENCE).await;
+        let health = shared.check_health(&id, PATIENCE).await;
         let next = match health {
             Some(Health::Well) => AGAIN,
             // Whether a full one is leaving is not known; it could run nothing more anyway.
--- a/components/router/src/peer.rs
+++ b/components/router/src/peer.rs
@@ -48,7 +48,7 @@
 }
 
 async fn follow(shared: Arc<Shared>, id: EndpointId, addr: SocketAddr, service: ServiceName) {
-    let loader = shared.loader(addr);
+    let loader = shared.loader_client(addr);
     let mut seen = 0;
     let mut pause = RETRY;
     let mut leaving = false;
@@ -81,7 +81,7 @@
                         seen = state.version;
                         unaware = state.engine == Revision(0);
                         leaving = !state.holdings.leaving.is_empty();
-                        shared.heard(&id, *state);
+                        shared.apply_endpoint_state(&id, *state);
                     }
                     Polled::Same(load) => {
                         if !shared.known.same(&id, load) {
@@ -147,7 +147,7 @@
         let now = Instant::now();
         let rate = peers.wanted(&target.model, now);
         if wish.cold {
-            peers.cold.ask(id, &target.model, now);
+            peers.cold.add_request(id, &target.model, now);
         }
         (addr, rate)
     };
@@ -182,7 +182,7 @@
 }
 
 async fn ask(shared: Arc<Shared>, addr: SocketAddr, ensure: Ensure) {
-    let ensured = shared.loader(addr).ensure(&ensure).await;
+    let ensured = shared.loader_client(addr).ensure(&ensure).await;
     let (pause, cause) = match &ensured {
         Ok(ensured) => match ensured.verdict {
             Verdict::Ready => (Duration::ZERO, String::new()),
@@ -200,10 +200,10 @@
         });
     }
     if let Ok(ensured) = ensured {
-        shared.heard(&id, ensured.state);
+        shared.apply_endpoint_state(&id, ensured.state);
     }
     let mut peers = shared.known.lock();
-    peers.cold.answered(&id, &target.model);
+    peers.cold.remove_request(&id, &target.model);
     if let Some(peer) = peers.map.get_mut(&id) {
         if let Some(asks) = peer.wakes.get_mut(&target) {
             asks.open -= 1;
--- a/components/router/src/prepare.rs
+++ b/components/router/src/prepare.rs
@@ -51,7 +51,7 @@
             peer.candidate(able, now)
         })
         .collect();
-    let free = Free { lanes: peers.cold.free(now), all: peers.cold.all() };
+    let free = Free { lanes: peers.cold.available_permits(now), all: peers.cold.permit_limit() };
     let asked = peers.map.values().flat_map(|peer| peer.wakes.keys().map(|id| &id.model)).collect();
     let demand = |model: &ModelName| peers.wanted(model, now);
     let planned = placement::prepare(&candidates, engine, free, &asked, demand);
--- a/components/router/src/probe.rs
+++ b/components/router/src/probe.rs
@@ -31,7 +31,7 @@
     let mut pause = PAUSE;
     loop {
         let Some((addr, pool)) = shared.known.pool(&id) else { return };
-        let report = shared.report(&id, addr, PATIENCE).await;
+        let report = shared.fetch_report(&id, addr, PATIENCE).await;
         let first = pause == PAUSE;
         if let Err(cause) = &report
             && pool.signs().trust(Instant::now()) != Trust::Sound
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -86,7 +86,12 @@
     }
 
     /// Takes records of the roster that a read which was sent then brought.
-    pub(crate) fn read(&self, news: Vec<(SocketAddr, Option<Record>)>, whole: bool, sent: Moment) {
+    pub(crate) fn apply_roster_read(
+        &self,
+        news: Vec<(SocketAddr, Option<Record>)>,
+        whole: bool,
+        sent: Moment,
+    ) {
         let now = Moment::now();
         let mut roster = self.roster();
         let count = |roster: &Roster| roster.share(now).map_or(0, |share| share.count);
@@ -109,12 +114,12 @@
     }
 
     /// What is to be written to the roster.
-    pub(crate) fn next_write(&self) -> Option<Write> {
+    pub(crate) fn next_roster_write(&self) -> Option<Write> {
         self.roster().next_write(Moment::now())
     }
 
     /// Notes that it is written.
-    pub(crate) fn wrote(&self, write: &Write) {
+    pub(crate) fn confirm_roster_write(&self, write: &Write) {
         self.roster().wrote(write, Moment::now());
     }
 
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -72,19 +72,19 @@
     let sent = Moment::now();
     let batch = follower.next(wait).await?;
     let news = batch.news.into_iter().filter_map(decode).collect();
-    shared.quotas.read(news, batch.whole, sent);
+    shared.quotas.apply_roster_read(news, batch.whole, sent);
     Ok(())
 }
 
 /// Writes what is to be written now.
 async fn write(shared: &Shared, store: &Store) -> Result<(), StoreError> {
-    while let Some(write) = shared.quotas.next_write() {
+    while let Some(write) = shared.quotas.next_roster_write() {
         let (addr, value) = match &write {
             Write::Put(addr, record) => (addr, serde_json::to_vec(record).unwrap_or_default()),
             Write::Drop(addr) => (addr, Vec::new()),
         };
         store.put(Topic::Routers, &addr.to_string(), &value, None).await?;
-        shared.quotas.wrote(&write);
+        shared.quotas.confirm_roster_write(&write);
     }
     Ok(())
 }
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -54,12 +54,12 @@
 
 /// The feeds whose last read gave nothing: what this router knows is getting older.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Still {
+pub(crate) struct StaleFeeds {
     configuration: bool,
     membership: bool,
 }
 
-impl Still {
+impl StaleFeeds {
     fn set(&mut self, feed: Feed, still: bool) {
         match feed {
             Feed::Configuration => self.configuration = still,
@@ -86,7 +86,7 @@
     /// Whether it takes no connections any more, since it is ending: what has no place by then is refused.
     pub(crate) closing: watch::Sender<bool>,
     start: watch::Sender<Start>,
-    pub(crate) still: watch::Sender<Still>,
+    pub(crate) stale_feeds: watch::Sender<StaleFeeds>,
     /// Requests in flight.
     pub(crate) flying: AtomicUsize,
     pub(crate) client: Client,
@@ -98,7 +98,7 @@
     /// Keeps requests that crash endpoints from them.
     pub(crate) guard: Arc<Guard>,
     /// How far the records on ended endpoints have been read, while the store answers.
-    pub(crate) ends_read: watch::Sender<Option<StorePosition>>,
+    pub(crate) crash_records_position: watch::Sender<Option<StorePosition>>,
     repeats: Mutex<HashMap<ServiceName, Repeats>>,
 }
 
@@ -117,14 +117,14 @@
             shutdown: process.shutdown.clone(),
             closing: watch::Sender::new(false),
             start: watch::Sender::new(Start::Reading),
-            still: watch::Sender::new(Still::default()),
+            stale_feeds: watch::Sender::new(StaleFeeds::default()),
             flying: AtomicUsize::new(0),
             client: Client::default(),
             store: Store::new(settings.store),
             access: Access::default(),
             quotas: Quotas::new(settings.control, settings.domain.clone()),
             guard: Arc::new(guard),
-            ends_read: watch::Sender::new(None),
+            crash_records_position: watch::Sender::new(None),
             repeats: Mutex::default(),
         };
         (shared, records)
@@ -161,9 +161,9 @@
     }
 
     /// Notes how a read of the store ended; the first ones decide how requests of the start are taken.
-    pub(crate) fn read_store(&self, feed: Feed, reached: bool) {
-        self.note_start(reached);
-        self.still.send_if_modified(|still| {
+    pub(crate) fn record_store_read(&self, feed: Feed, reached: bool) {
+        self.update_start(reached);
+        self.stale_feeds.send_if_modified(|still| {
             let before = *still;
             still.set(feed, !reached);
             before != *still
@@ -171,7 +171,7 @@
     }
 
     /// Notes whether there is something to serve with, after a read of the store or the word of another router.
-    pub(crate) fn note_start(&self, reached: bool) {
+    pub(crate) fn update_start(&self, reached: bool) {
         let known = self.current().is_some() && self.known.lock().listed;
         self.start.send_if_modified(|start| {
             let next = match (*start, known, reached) {
@@ -205,13 +205,13 @@
     }
 
     /// A client of the loader on the machine of an endpoint.
-    pub(crate) fn loader(&self, endpoint: std::net::SocketAddr) -> Loader {
+    pub(crate) fn loader_client(&self, endpoint: std::net::SocketAddr) -> Loader {
         let addr = std::net::SocketAddr::new(endpoint.ip(), self.settings.borrow().loader);
         Loader::new(self.client.clone(), addr)
     }
 
     /// Takes what a loader says of its endpoint.
-    pub(crate) fn heard(&self, id: &EndpointId, state: State) {
+    pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: State) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
             let service = self.known.lock().map.get(id)?.endpoint.service.clone();
@@ -221,7 +221,7 @@
     }
 
     /// Asks an endpoint for its report, as a sign of life.
-    pub(crate) async fn report(
+    pub(crate) async fn fetch_report(
         &self,
         id: &EndpointId,
         endpoint: std::net::SocketAddr,
@@ -235,7 +235,7 @@
     }
 
     /// Asks an endpoint whether it is well; `None` if it is not known any more or can't be asked.
-    pub(crate) async fn health(&self, id: &EndpointId, limit: Duration) -> Option<Health> {
+    pub(crate) async fn check_health(&self, id: &EndpointId, limit: Duration) -> Option<Health> {
         let (endpoint, pool) = {
             let peers = self.known.lock();
             let peer = peers.map.get(id)?;
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -36,7 +36,7 @@
     let (Some(catalog), Some(told)) = (shared.current(), shared.known.tell(have)) else {
         return web::text(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n");
     };
-    let proved = shared.access.proved(&catalog);
+    let proved = shared.access.confirmed_version(&catalog);
     if proved.is_none() && catalog.version <= have.version && told.read <= have.read {
         return web::text(StatusCode::NO_CONTENT, "");
     }
@@ -46,7 +46,7 @@
 
 /// Asks other routers for as long as this one gets nothing from the store.
 pub(crate) async fn follow(shared: Arc<Shared>) {
-    let mut still = shared.still.subscribe();
+    let mut still = shared.stale_feeds.subscribe();
     let mut turn = 0;
     while still.wait_for(|still| still.any()).await.is_ok() {
         let mut others = shared.other_routers();
@@ -96,11 +96,11 @@
     if let Some(proved) = proved
         && shared.current().is_some_and(|current| current.version == proved.version)
     {
-        shared.access.prove_by_word(sent, proved.age);
+        shared.access.record_peer_read(sent, proved.age);
     }
     if let Some(asked) = shared.known.told(snapshot) {
         missing::ask(shared, asked);
         peer::follow_new(shared);
     }
-    shared.note_start(false);
+    shared.update_start(false);
 }
