--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -44,7 +44,7 @@
         let next = tokio::select! {
             next = follower.next(if away.is_some() { Duration::ZERO } else { wait }) => next,
             // An endpoint may have ended: what others know of it may be waiting behind a silent connection.
-            () = shared.guard.possible_crash.notified(), if wait == CALM => continue,
+            () = shared.guard.possible_crash.notified(), if wait == CALM => continue
         };
         match next {
             Ok(batch) => {
@@ -53,7 +53,7 @@
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.read));
+                shared.crash_records_position.send_replace(Some(batch.read));
                 let empty = batch.news.is_empty() && !batch.whole;
                 if batch.restored {
                     write_again(&shared, &batch.news);
@@ -66,7 +66,7 @@
             }
             Err(error) => {
                 lost(&mut away, &error);
-                shared.ends_read.send_replace(None);
+                shared.crash_records_position.send_replace(None);
                 exchange(&shared).await;
                 tokio::time::sleep(RETRY).await;
             }
@@ -227,7 +227,7 @@
     digest: &Digest,
     number: u32,
 ) -> Option<SendPermit> {
-    let read: Option<StorePosition> = *shared.ends_read.borrow();
+    let read: Option<StorePosition> = *shared.crash_records_position.borrow();
     let at: Stamp = wall_clock();
     let note = Note::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -215,7 +215,7 @@
     fn remove(&mut self, id: &EndpointId, cause: &str) {
         let Some(peer) = self.map.remove(id) else { return };
         self.remember_hints(id, peer.endpoint.life, peer.hints);
-        self.cold.forget(id);
+        self.cold.remove_endpoint(id);
         if let Some(task) = peer.loader_task {
             task.abort();
         }
--- a/components/router/src/prepare.rs
+++ b/components/router/src/prepare.rs
@@ -52,7 +52,10 @@
             peer.candidate(able, now)
         })
         .collect();
-    let free = PrefetchCapacity { free: peers.cold.free(now), total: peers.cold.all() };
+    let free = PrefetchCapacity {
+        free: peers.cold.available_permits(now),
+        total: peers.cold.permit_limit(),
+    };
     let asked =
         peers.map.values().flat_map(|peer| peer.open_loads.keys().map(|id| &id.model)).collect();
     let demand = |model: &ModelName| peers.request_rate(model, now);
