--- a/components/access/src/verdict.rs
+++ b/components/access/src/decision.rs
@@ -5,7 +5,7 @@
 use catalog::{KeyDigest, Workspace, Workspaces};
 use clock::Moment;
 
-use crate::Proof;
+use crate::Freshness;
 
 /// What a request shows of its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,19 +33,19 @@
 
 /// What is known when a request is judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Lookup<'a> {
+pub struct AccessCheck<'a> {
     /// What the request shows.
     pub credential: Credential,
     /// Whether its route needs no key.
-    pub open: bool,
+    pub anonymous_allowed: bool,
     /// The workspaces, if there are any at all.
     pub workspaces: Option<&'a Workspaces>,
     /// Whether the key was in a version before this one.
     pub revoked: bool,
     /// From when they are.
-    pub proof: Proof,
+    pub freshness: Freshness,
     /// The longest that a key may be served after it was taken away; none if there is no such bound.
-    pub bound: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// When the request came.
     pub arrived: Moment,
     /// Now.
@@ -54,7 +54,7 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict<'a> {
+pub enum AccessDecision<'a> {
     /// There are no workspaces: it is passed on as it is.
     Unmanaged,
     /// It is let in and belongs to no workspace.
@@ -64,28 +64,28 @@
     /// It is not let in.
     Denied(Denial),
     /// It is not known any more whether its key holds.
-    Unproved,
+    Stale,
     /// The key may be newer than what is known: the store is asked first.
-    Unread,
+    NeedsRead,
 }
 
 /// Judges a request.
-pub fn judge<'a>(lookup: &Lookup<'a>) -> Verdict<'a> {
-    let Some(workspaces) = lookup.workspaces else { return Verdict::Unmanaged };
-    let key = match lookup.credential {
-        Credential::Absent if lookup.open => return Verdict::Anonymous,
-        Credential::Absent => return Verdict::Denied(Denial::Missing),
-        Credential::Malformed => return Verdict::Denied(Denial::Malformed),
+pub fn decide_access<'a>(check: &AccessCheck<'a>) -> AccessDecision<'a> {
+    let Some(workspaces) = check.workspaces else { return AccessDecision::Unmanaged };
+    let key = match check.credential {
+        Credential::Absent if check.anonymous_allowed => return AccessDecision::Anonymous,
+        Credential::Absent => return AccessDecision::Denied(Denial::Missing),
+        Credential::Malformed => return AccessDecision::Denied(Denial::Malformed),
         Credential::Key(key) => key,
     };
-    if lookup.bound.is_some_and(|bound| !lookup.proof.holds(lookup.now, bound)) {
-        return Verdict::Unproved;
+    if check.revocation_bound.is_some_and(|bound| !check.freshness.is_fresh(check.now, bound)) {
+        return AccessDecision::Stale;
     }
     match workspaces.holder(&key) {
-        Some(workspace) => Verdict::Member(workspace),
-        None if lookup.revoked => Verdict::Denied(Denial::Revoked),
-        None if lookup.proof.covers(lookup.arrived) => Verdict::Denied(Denial::Unknown),
-        None => Verdict::Unread,
+        Some(workspace) => AccessDecision::Member(workspace),
+        None if check.revoked => AccessDecision::Denied(Denial::Revoked),
+        None if check.freshness.covers(check.arrived) => AccessDecision::Denied(Denial::Unknown),
+        None => AccessDecision::NeedsRead,
     }
 }
 
--- a/components/access/src/proof.rs
+++ b/components/access/src/freshness.rs
@@ -5,22 +5,22 @@
 use clock::Moment;
 
 /// The part of the bound for which a proof is good: what is let in right before its end is still on its way.
-const PART: f64 = 0.95;
+const USABLE_FRACTION: f64 = 0.95;
 
 /// From when what is known is the newest there was. Ages of reads are compared nowhere else.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Proof(Option<Moment>);
+pub struct Freshness(Option<Moment>);
 
-impl Proof {
+impl Freshness {
     /// Takes that a read which was sent then brought the newest there is. A read that waits for news may have been answered
     /// long after the store looked, so that only its sending counts; nor does an answer that could not be read.
-    pub fn extend(&mut self, sent: Moment) {
+    pub fn record_read(&mut self, sent: Moment) {
         self.0 = self.0.max(Some(sent));
     }
 
     /// Takes the word of another router whose proof was so old when it answered a question that was sent then.
-    pub fn extend_by_word(&mut self, sent: Moment, age: Duration) {
-        self.extend(sent.before(age));
+    pub fn record_peer_read(&mut self, sent: Moment, age: Duration) {
+        self.record_read(sent.before(age));
     }
 
     /// How old it is, if there is any.
@@ -29,8 +29,8 @@
     }
 
     /// Whether keys may be served by it that must not be served longer than `bound` after they were taken away.
-    pub fn holds(self, now: Moment, bound: Duration) -> bool {
-        self.age(now).is_some_and(|age| age <= bound.mul_f64(PART))
+    pub fn is_fresh(self, now: Moment, bound: Duration) -> bool {
+        self.age(now).is_some_and(|age| age <= bound.mul_f64(USABLE_FRACTION))
     }
 
     /// Whether it tells of all that was there at a moment.
--- a/components/access/src/proof/tests.rs
+++ b/components/access/src/freshness/tests.rs
@@ -8,24 +8,24 @@
 
 #[test]
 fn nothing_holds_before_the_first_read() {
-    assert!(!Proof::default().holds(Moment::now(), BOUND));
-    assert!(!Proof::default().covers(Moment::now()));
+    assert!(!Freshness::default().is_fresh(Moment::now(), BOUND));
+    assert!(!Freshness::default().covers(Moment::now()));
 }
 
 #[test]
 fn an_answer_that_comes_late_proves_nothing_of_its_own_moment() {
     let sent = Moment::now();
-    let mut proof = Proof::default();
-    proof.extend(sent);
-    assert!(proof.holds(sent + Duration::from_secs(4), BOUND));
-    assert!(!proof.holds(sent + BOUND, BOUND));
+    let mut proof = Freshness::default();
+    proof.record_read(sent);
+    assert!(proof.is_fresh(sent + Duration::from_secs(4), BOUND));
+    assert!(!proof.is_fresh(sent + BOUND, BOUND));
 }
 
 #[test]
 fn the_word_of_another_router_is_as_old_as_its_proof_and_the_way() {
     let sent = Moment::now();
-    let mut proof = Proof::default();
-    proof.extend_by_word(sent, Duration::from_secs(3));
+    let mut proof = Freshness::default();
+    proof.record_peer_read(sent, Duration::from_secs(3));
     let answered = sent + Duration::from_millis(400);
     assert_eq!(proof.age(answered), Some(Duration::from_millis(3_400)));
 }
@@ -42,16 +42,16 @@
     ) {
         let start = Moment::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut proof = Proof::default();
+        let mut proof = Freshness::default();
         let mut known = false;
         for (sent, to, back) in reads {
             let (looked, answered) = (sent + to, sent + to + back);
             if answered <= served {
-                proof.extend(at(sent));
+                proof.record_read(at(sent));
                 known |= looked >= revoked;
             }
         }
-        let lets_in = !known && proof.holds(at(served), BOUND);
+        let lets_in = !known && proof.is_fresh(at(served), BOUND);
         prop_assert!(!lets_in || served <= revoked + 5_000);
     }
 }
--- a/components/access/src/lib.rs
+++ b/components/access/src/lib.rs
@@ -3,8 +3,8 @@
 //! A key that was taken away must not be served longer than a bound, also by a router that nobody reaches. So a key is served
 //! only while the read that showed it is young enough, counted from the moment at which that read was sent.
 
-mod proof;
-mod verdict;
+mod decision;
+mod freshness;
 
-pub use proof::Proof;
-pub use verdict::{Credential, Denial, Lookup, Verdict, judge};
+pub use decision::{AccessCheck, AccessDecision, Credential, Denial, decide_access};
+pub use freshness::Freshness;
--- a/components/loader/src/ledger.rs
+++ b/components/loader/src/ledger.rs
@@ -170,7 +170,7 @@
         let models: Size = report.models.iter().map(|held| weights(&held.model)).sum();
         let adapters =
             report.models.iter().map(|h| Size(adapter(&h.model).0 * h.adapters.len() as u64));
-        let incoming = report.incoming.iter().map(|id| adapter(&id.model));
+        let incoming = report.loading_adapters.iter().map(|id| adapter(&id.model));
         models + adapters.sum() + incoming.sum()
     }
 
@@ -178,7 +178,7 @@
     pub(crate) fn places(&self) -> u32 {
         let Some(report) = &self.report else { return 0 };
         let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
-        u32::try_from(held + report.incoming.len()).unwrap_or(u32::MAX)
+        u32::try_from(held + report.loading_adapters.len()).unwrap_or(u32::MAX)
     }
 }
 
--- a/components/loader/src/plan.rs
+++ b/components/loader/src/plan.rs
@@ -11,7 +11,7 @@
 
 use catalog::{Engine, ModelId};
 use fleet::Tier;
-use platform::Work;
+use platform::Operation;
 use tokio::time::Instant;
 use units::{ModelName, Size};
 
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Next {
     /// Give this order.
-    Order(Work, ModelId),
+    Order(Operation, ModelId),
     /// Send this model no new requests: it makes room.
     Drain(ModelName),
     /// Keep the model that was to make room: nobody needs it any more.
@@ -75,7 +75,7 @@
         return Next::Refuse((*id).clone(), AGAIN);
     };
     if spec.weights <= engine.memory.saturating_sub(ledger.taken()) {
-        return Next::Order(Work::Load, ModelId { model: id.model.clone(), adapter: None });
+        return Next::Order(Operation::Load, ModelId { model: id.model.clone(), adapter: None });
     }
     match &ledger.leaving {
         Some(leaving) if !has(ledger, &leaving.model) => Next::Spare,
@@ -83,7 +83,10 @@
             let since = now - leaving.since;
             let done = ledger.running(&leaving.model) == 0 && since >= HEARD;
             if done || since >= DRAINED {
-                Next::Order(Work::Unload, ModelId { model: leaving.model.clone(), adapter: None })
+                Next::Order(
+                    Operation::Unload,
+                    ModelId { model: leaving.model.clone(), adapter: None },
+                )
             } else {
                 Next::Rest
             }
@@ -163,23 +166,23 @@
         id.adapter.is_some()
             && has(ledger, &id.model)
             && !ledger.holds(id)
-            && !report.incoming.contains(id)
+            && !report.loading_adapters.contains(id)
     });
     let (id, _) = wanted?;
-    if report.incoming.len() >= INCOMING {
+    if report.loading_adapters.len() >= INCOMING {
         return None;
     }
     let size = engine.model(&id.model).map_or(Size(0), |spec| spec.adapter);
     let room = size <= engine.memory.saturating_sub(ledger.taken());
     if room && ledger.places() < engine.adapters {
-        return Some(Next::Order(Work::Load, id.clone()));
+        return Some(Next::Order(Operation::Load, id.clone()));
     }
     match idle_adapter(ledger, now) {
-        Some(adapter) => Some(Next::Order(Work::Unload, adapter)),
+        Some(adapter) => Some(Next::Order(Operation::Unload, adapter)),
         // An order for a model in progress is waited for; else there is no room in sight.
         None if report.busy => None,
         None => match victim(ledger, 1, now).filter(|model| *model != id.model && !room) {
-            Some(model) => Some(Next::Order(Work::Unload, ModelId { model, adapter: None })),
+            Some(model) => Some(Next::Order(Operation::Unload, ModelId { model, adapter: None })),
             None => Some(Next::Refuse(id.clone(), AGAIN)),
         },
     }
--- a/components/loader/src/plan/tests.rs
+++ b/components/loader/src/plan/tests.rs
@@ -4,7 +4,7 @@
 
 use catalog::ModelSpec;
 use fleet::{Copies, Held};
-use platform::{Notice, Report};
+use platform::{EndpointHints, Report};
 
 use super::*;
 use crate::ledger::{Heard, Leaving};
@@ -42,16 +42,16 @@
         adapters: adapters.iter().map(|text| text.parse().expect("an adapter")).collect(),
     };
     let report = Report {
-        life: None,
+        incarnation: None,
         models: models.iter().map(held).collect(),
-        incoming: Vec::new(),
+        loading_adapters: Vec::new(),
         copies: Copies { memory: Vec::new(), disk: names.map(name).into() },
         busy: false,
         sequence: 1,
         running: 0,
         queued: 0,
         draining: false,
-        notice: Notice::default(),
+        hints: EndpointHints::default(),
     };
     Ledger { engine: Some(engine), report: Some(report), ..Ledger::default() }
 }
@@ -80,7 +80,7 @@
     let mut ledger = ledger(&[("a", &[])]);
     let now = Instant::now();
     want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("b")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("b")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -90,7 +90,7 @@
     want(&mut ledger, "c", 5, now);
     assert!(matches!(next(&ledger, now), Next::Drain(_)));
     ledger.report.as_mut().expect("a report").models.pop();
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("c")));
     ledger.report.as_mut().expect("a report").busy = true;
     assert_eq!(next(&ledger, now), Next::Rest, "one order at a time");
 }
@@ -108,7 +108,7 @@
     let now = later(HEARD).await;
     assert_eq!(next(&ledger, now), Next::Rest, "one request runs");
     run(&mut ledger, "a", 0, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -119,7 +119,7 @@
     ledger.leaving = Some(Leaving { model: name("a"), since: start });
     want(&mut ledger, "c", 1, start);
     let now = later(DRAINED).await;
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -155,9 +155,9 @@
     let now = later(Duration::from_millis(500)).await;
     want(&mut ledger, "a", 9, now);
     want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("a")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("a")));
     ledger.wants.remove(&id("a"));
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -168,7 +168,7 @@
     let now = later(KEEP).await;
     ledger.adapters.insert(id("a/y"), now);
     want(&mut ledger, "a/z", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a/x")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Unload, id("a/x")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -193,10 +193,10 @@
     let report = ledger.report.as_ref().expect("a report");
     let models = report.models.len() as u64 * 40;
     let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
-    let adapters = (held + report.incoming.len()) as u64;
+    let adapters = (held + report.loading_adapters.len()) as u64;
     let more = match next {
-        Next::Order(Work::Load, id) if id.adapter.is_some() => 1,
-        Next::Order(Work::Load, _) => 40,
+        Next::Order(Operation::Load, id) if id.adapter.is_some() => 1,
+        Next::Order(Operation::Load, _) => 40,
         _ => 0,
     };
     models + adapters + more
@@ -225,7 +225,7 @@
             let report = ledger.report.as_mut().expect("a report");
             report.busy = busy;
             if let Some((model, _)) = models.first() {
-                report.incoming = (0..incoming).map(|n| id(&format!("{model}/in{n}"))).collect();
+                report.loading_adapters = (0..incoming).map(|n| id(&format!("{model}/in{n}"))).collect();
             }
             for (model, adapter, waiting) in wants {
                 let text = match adapter {
@@ -256,7 +256,7 @@
     assert_eq!(ledger.all_running(), 0);
     assert_eq!(next(&ledger, now), Next::Rest, "its report is waited for");
     ledger.report = super::tests::ledger(&[]).report;
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -267,9 +267,9 @@
     want(&mut ledger, "a", 9, now);
     assert_eq!(next(&ledger, now), Next::Rest);
     want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("b")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("b")));
     ledger.lane = Some(name("a"));
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("a")));
+    assert_eq!(next(&ledger, now), Next::Order(Operation::Load, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
--- a/components/loader/src/records.rs
+++ b/components/loader/src/records.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use events::{Dependency, Event, emit};
-use platform::{Log, Store, StoreError};
+use platform::{LogRead, Store, StoreError};
 use tokio::time::Instant;
 use units::{Era, Offset, StorePosition};
 
@@ -64,8 +64,8 @@
         let wait = left.filter(|left| !left.is_zero()).map_or(wait, |left| wait.min(left));
         let now = Instant::now;
         match self.store.read_log(TOPIC, self.next, wait).await? {
-            Log::Expired(first) => self.next = first,
-            Log::Restored(first) => {
+            LogRead::Expired(first) => self.next = first,
+            LogRead::Restored(first) => {
                 let (before, read) = (self.next.to_string(), first.to_string());
                 let (dependency, before, read) = (Dependency::Lanes, &*before, &*read);
                 emit(&Event::Restored { dependency, before, read });
@@ -74,7 +74,7 @@
                 self.settling = Some(now() + SETTLE);
                 return Ok(Found::Restored);
             }
-            Log::New { records, next } => {
+            LogRead::New { records, next } => {
                 for record in records {
                     match serde_json::from_slice(&record) {
                         Ok(note) => self.queue.take(note, now()),
--- a/components/loader/src/steward.rs
+++ b/components/loader/src/steward.rs
@@ -9,7 +9,7 @@
 use control::{State, Verdict};
 use events::{Dependency, Event, emit, millis};
 use fleet::Tier;
-use platform::{Work, read_report};
+use platform::{Operation, fetch_report};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 use units::{EndpointId, Life, Revision, StorePosition};
@@ -41,7 +41,7 @@
 /// An order that is carried out.
 #[derive(Debug, Clone)]
 struct Pending {
-    work: Work,
+    work: Operation,
     target: ModelId,
     tier: Tier,
     since: Instant,
@@ -157,7 +157,7 @@
     }
 
     fn pace(&self) -> Duration {
-        let incoming = self.ledger.report.as_ref().is_some_and(|r| !r.incoming.is_empty());
+        let incoming = self.ledger.report.as_ref().is_some_and(|r| !r.loading_adapters.is_empty());
         if incoming || self.pending.as_ref().is_some_and(|p| p.target.adapter.is_some()) {
             ADAPTER
         } else if self.pending.is_some() {
@@ -247,7 +247,7 @@
 
     /// Asks the endpoint what it holds.
     async fn report(&mut self) {
-        match read_report(&self.client, self.addr, PATIENCE).await {
+        match fetch_report(&self.client, self.addr, PATIENCE).await {
             Ok(mut report) => {
                 if self.lost {
                     let after = self.reached.map_or(Duration::ZERO, |reached| reached.elapsed());
@@ -259,10 +259,10 @@
                 }
                 self.lost = false;
                 self.reached = Some(Instant::now());
-                if Life::differ(self.life, report.life) {
+                if Life::differ(self.life, report.incarnation) {
                     self.restarted();
                 }
-                self.life = report.life.or(self.life);
+                self.life = report.incarnation.or(self.life);
                 self.leaving |= report.draining;
                 report.draining = self.leaving;
                 let over = self.pending.take_if(|_| !report.busy);
--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/steward/publish.rs
@@ -3,7 +3,7 @@
 use control::Load;
 use events::{Event, emit};
 use fleet::{Holdings, Loading, Tier};
-use platform::Work;
+use platform::Operation;
 use tokio::time::Instant;
 
 use crate::plan;
@@ -15,12 +15,13 @@
         let now = Instant::now();
         let report = self.ledger.report.as_ref();
         let pending = self.pending.as_ref().filter(|pending| pending.target.adapter.is_none());
-        let loading = pending.filter(|p| p.work == Work::Load).map(|p| Loading {
+        let loading = pending.filter(|p| p.work == Operation::Load).map(|p| Loading {
             model: p.target.model.clone(),
             cold: p.tier == Tier::Store,
             left: (p.since + p.expect).saturating_duration_since(now),
         });
-        let leaving = pending.filter(|p| p.work == Work::Unload).map(|p| p.target.model.clone());
+        let leaving =
+            pending.filter(|p| p.work == Operation::Unload).map(|p| p.target.model.clone());
         let leaving = leaving.or(self.ledger.leaving.as_ref().map(|one| one.model.clone()));
         let (running, room) = (self.ledger.all_running(), plan::room(&self.ledger, now));
         let holdings = Holdings {
--- a/components/loader/src/steward/turns.rs
+++ b/components/loader/src/steward/turns.rs
@@ -1,7 +1,7 @@
 //! A steward's turn at the weight store.
 
 use fleet::Tier;
-use platform::Work;
+use platform::Operation;
 
 use crate::lane::{self, Say, Wish};
 use crate::plan;
@@ -32,7 +32,7 @@
 
     /// Gives the lane back when a load from the weight store is over, with the time that it took if the model is there.
     pub(super) fn end_turn(&mut self, over: &Pending) {
-        if over.work != Work::Load || over.tier != Tier::Store {
+        if over.work != Operation::Load || over.tier != Tier::Store {
             return;
         }
         let took = over.since.elapsed();
--- a/components/quota/src/bucket/tests.rs
+++ b/components/quota/src/bucket/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const SHARE: Terms = Terms { refill: 100.0, depth: 500.0 };
+const SHARE: BucketSpec = BucketSpec { refill_rate: 100.0, capacity: 500.0 };
 
 #[test]
 fn begins_empty_and_fills_up_to_its_depth() {
@@ -21,7 +21,7 @@
     let later = start + Duration::from_secs(3);
     assert!((bucket.take(SHARE, 1_000.0, later).tokens - 300.0).abs() < 1e-6);
     assert!(bucket.take(SHARE, 1_000.0, later).tokens < 1e-9);
-    assert_eq!(bucket.wait(SHARE, 50.0, later), Duration::from_millis(500));
+    assert_eq!(bucket.time_until(SHARE, 50.0, later), Duration::from_millis(500));
 }
 
 #[test]
@@ -35,12 +35,12 @@
         bucket.level(SHARE, at(tenths));
         other.level(SHARE, at(tenths));
     }
-    bucket.put_back(SHARE, taken, at(68));
+    bucket.refund(SHARE, taken, at(68));
     assert!((bucket.level(SHARE, at(68)) - other.level(SHARE, at(68))).abs() < 1e-6);
     // Much later nothing of it is left to give.
     let taken = bucket.take(SHARE, 200.0, at(70));
     bucket.take(SHARE, 500.0, at(200));
-    bucket.put_back(SHARE, taken, at(200));
+    bucket.refund(SHARE, taken, at(200));
     assert!(bucket.level(SHARE, at(200)) < 1e-6);
 }
 
@@ -49,7 +49,7 @@
     let start = Moment::now();
     let mut bucket = Bucket::new(start);
     let later = start + Duration::from_secs(60);
-    let less = Terms { refill: 1.0, depth: 20.0 };
+    let less = BucketSpec { refill_rate: 1.0, capacity: 20.0 };
     assert!((bucket.level(SHARE, later) - 500.0).abs() < 1e-6);
     assert!((bucket.take(less, 1_000.0, later).tokens - 20.0).abs() < 1e-6);
 }
--- a/components/quota/src/terms.rs
+++ b/components/quota/src/bucket_spec.rs
@@ -5,11 +5,11 @@
 use catalog::Limit;
 
 /// The part of what is allowed that is given out, since what routers count differs a little from what endpoints see.
-const PART: f64 = 0.95;
+const USABLE_FRACTION: f64 = 0.95;
 /// At least this part of it stands ready in the buckets for requests that come together; the rest refills them.
-const READY: f64 = 0.1;
+const MIN_CAPACITY_FRACTION: f64 = 0.1;
 /// Tokens that were taken from one bucket are used within this time or are lost: meanwhile that bucket refills.
-pub const TRANSIT: Duration = Duration::from_millis(500);
+pub const LOAN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// By how much a limit may be passed, over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -32,26 +32,26 @@
 
 /// A token bucket: of all routers together, or the share of one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct BucketSpec {
     /// Units a second that it gains.
-    pub refill: f64,
+    pub refill_rate: f64,
     /// The most that it holds.
-    pub depth: f64,
+    pub capacity: f64,
 }
 
-impl Terms {
+impl BucketSpec {
     /// The bucket of all routers: in no window more is taken from it than the limit allows.
     pub fn new(limit: Limit, bounds: Bounds) -> Self {
-        let allowed = bounds.allowed(limit) * PART;
-        let span = (bounds.window + TRANSIT).as_secs_f64();
-        let refill = limit.rate.min(allowed * (1.0 - READY) / span);
-        Self { refill, depth: allowed - refill * span }
+        let allowed = bounds.allowed(limit) * USABLE_FRACTION;
+        let span = (bounds.window + LOAN_TIMEOUT).as_secs_f64();
+        let refill_rate = limit.rate.min(allowed * (1.0 - MIN_CAPACITY_FRACTION) / span);
+        Self { refill_rate, capacity: allowed - refill_rate * span }
     }
 
     /// One of so many equal shares.
     pub fn share(self, shares: u32) -> Self {
         let shares = f64::from(shares.max(1));
-        Self { refill: self.refill / shares, depth: self.depth / shares }
+        Self { refill_rate: self.refill_rate / shares, capacity: self.capacity / shares }
     }
 }
 
--- a/components/quota/src/terms/tests.rs
+++ b/components/quota/src/bucket_spec/tests.rs
@@ -16,10 +16,10 @@
     ) {
         let limit = Limit { rate, burst };
         let bounds = Bounds { window: Duration::from_secs(seconds), overshoot, slack };
-        let terms = Terms::new(limit, bounds);
-        let most = terms.depth + terms.refill * (bounds.window + TRANSIT).as_secs_f64();
+        let terms = BucketSpec::new(limit, bounds);
+        let most = terms.capacity + terms.refill_rate * (bounds.window + LOAN_TIMEOUT).as_secs_f64();
         prop_assert!(most <= bounds.allowed(limit) * 0.951);
-        prop_assert!(terms.depth > 0.0 && terms.refill > 0.0 && terms.refill <= rate);
+        prop_assert!(terms.capacity > 0.0 && terms.refill_rate > 0.0 && terms.refill_rate <= rate);
     }
 
     /// What a workspace may ask for a second is not refused for good.
@@ -27,6 +27,6 @@
     fn gains_the_whole_rate_where_the_bound_leaves_room(rate in 1.0..1e6_f64) {
         let limit = Limit { rate, burst: rate };
         let bounds = Bounds { window: Duration::from_secs(8), overshoot: 0.1, slack: 17_000.0 };
-        prop_assert!(Terms::new(limit, bounds).refill >= rate * 0.99);
+        prop_assert!(BucketSpec::new(limit, bounds).refill_rate >= rate * 0.99);
     }
 }
--- a/components/quota/src/lenders.rs
+++ b/components/quota/src/lenders.rs
@@ -3,20 +3,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::{TRANSIT, Terms};
+use crate::{BucketSpec, LOAN_TIMEOUT};
 
 /// So many that have next to nothing mean that nobody has.
-const SAMPLE: usize = 3;
+const MIN_SAMPLE: usize = 3;
 /// Next to nothing, as a part of what was asked for.
-const NOTHING: f64 = 0.25;
+const EXHAUSTED_FRACTION: f64 = 0.25;
 /// The most that are asked for one request.
-const MOST: usize = 63;
+const MAX_LENDERS: usize = 63;
 /// A router that answers does so within some milliseconds; a slow one is not waited for.
-pub const PATIENCE: Duration = Duration::from_millis(150);
+pub const LENDER_TIMEOUT: Duration = Duration::from_millis(150);
 /// One that has callers of the workspace itself lends no more than this part of what it has.
-const FAIR: f64 = 0.5;
+const LENDABLE_FRACTION: f64 = 0.5;
 /// It has if one came within this time.
-const BUSY: Duration = Duration::from_secs(1);
+const BUSY_WINDOW: Duration = Duration::from_secs(1);
 
 /// Other routers in a random order, in waves that grow: first as many as lend enough if their buckets are full.
 /// Those nearby are not preferred, since a workspace that presses through one failure domain leaves all of that short.
@@ -31,19 +31,19 @@
     pub fn new(
         others: impl IntoIterator<Item = SocketAddr>,
         missing: f64,
-        share: Terms,
+        share: BucketSpec,
         mut key: impl FnMut() -> u32,
     ) -> Self {
         let mut all: Vec<(u32, SocketAddr)> =
             others.into_iter().map(|addr| (key(), addr)).collect();
         all.sort_unstable();
-        all.truncate(MOST);
+        all.truncate(MAX_LENDERS);
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a small number, and cut off at the largest"
         )]
-        let wave = (missing / (share.depth * FAIR)).ceil().max(1.0) as usize;
+        let wave = (missing / (share.capacity * LENDABLE_FRACTION)).ceil().max(1.0) as usize;
         Self { order: all.into_iter().map(|(_, addr)| addr).collect(), wave }
     }
 
@@ -56,18 +56,18 @@
 }
 
 /// Whether there is time for one more wave, so long after the first one: what is lent comes in time to be used, or is lost.
-pub fn may_ask(elapsed: Duration) -> bool {
-    elapsed + PATIENCE <= TRANSIT
+pub fn has_time_for_wave(elapsed: Duration) -> bool {
+    elapsed + LENDER_TIMEOUT <= LOAN_TIMEOUT
 }
 
 /// What a router lends at most that has so much, if a caller of its own came so long ago.
 pub fn lendable(level: f64, idle: Duration) -> f64 {
-    if idle < BUSY { level * FAIR } else { level }
+    if idle < BUSY_WINDOW { level * LENDABLE_FRACTION } else { level }
 }
 
 /// Whether nobody is likely to have more, by what so many gave who were asked for so much together.
-pub fn is_dry(asked: usize, wanted: f64, got: f64) -> bool {
-    asked >= SAMPLE && got < wanted * NOTHING
+pub fn likely_exhausted(asked: usize, wanted: f64, got: f64) -> bool {
+    asked >= MIN_SAMPLE && got < wanted * EXHAUSTED_FRACTION
 }
 
 #[cfg(test)]
--- a/components/quota/src/lenders/tests.rs
+++ b/components/quota/src/lenders/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const SHARE: Terms = Terms { refill: 100.0, depth: 500.0 };
+const SHARE: BucketSpec = BucketSpec { refill_rate: 100.0, capacity: 500.0 };
 
 fn lenders(missing: f64) -> Lenders {
     let all = (0..10).map(|n| SocketAddr::from(([10, 0, 0, n], 8_144)));
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_few_that_have_nothing_mean_that_nobody_has() {
-    assert!(!is_dry(1, 1_000.0, 0.0));
-    assert!(is_dry(3, 1_000.0, 20.0));
-    assert!(!is_dry(3, 1_000.0, 300.0));
+    assert!(!likely_exhausted(1, 1_000.0, 0.0));
+    assert!(likely_exhausted(3, 1_000.0, 20.0));
+    assert!(!likely_exhausted(3, 1_000.0, 300.0));
 }
--- a/components/quota/src/lib.rs
+++ b/components/quota/src/lib.rs
@@ -9,13 +9,13 @@
 //! bucket before they are used at another one, so that nobody has to agree on anything.
 
 mod bucket;
+mod bucket_spec;
 mod lenders;
 mod meter;
 mod roster;
-mod terms;
 
-pub use bucket::{Bucket, Taken};
-pub use lenders::{Lenders, PATIENCE, is_dry, lendable, may_ask};
+pub use bucket::{Bucket, TakenTokens};
+pub use bucket_spec::{Bounds, BucketSpec, LOAN_TIMEOUT};
+pub use lenders::{LENDER_TIMEOUT, Lenders, has_time_for_wave, lendable, likely_exhausted};
 pub use meter::Meter;
-pub use roster::{Record, Roster, Seat, Share, Stage, Write};
-pub use terms::{Bounds, TRANSIT, Terms};
+pub use roster::{Roster, RosterEntry, RosterWrite, RouterRecord, Share, Stage};
--- a/components/quota/src/meter.rs
+++ b/components/quota/src/meter.rs
@@ -5,7 +5,7 @@
 use clock::Moment;
 
 /// What was used counts for about this long.
-const SPAN: Duration = Duration::from_secs(10);
+const TIME_CONSTANT: Duration = Duration::from_secs(10);
 
 /// A rate that forgets.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -16,19 +16,19 @@
 
 impl Meter {
     /// Counts some.
-    pub fn count(&mut self, tokens: f64, now: Moment) {
+    pub fn record(&mut self, tokens: f64, now: Moment) {
         self.sum = self.kept(now) + tokens;
         self.at = Some(now);
     }
 
     /// Units a second, of late.
     pub fn rate(&self, now: Moment) -> f64 {
-        self.kept(now) / SPAN.as_secs_f64()
+        self.kept(now) / TIME_CONSTANT.as_secs_f64()
     }
 
     fn kept(&self, now: Moment) -> f64 {
         let since = self.at.map_or(Duration::ZERO, |at| now.since(at));
-        self.sum * (-since.as_secs_f64() / SPAN.as_secs_f64()).exp()
+        self.sum * (-since.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
--- a/components/quota/src/roster.rs
+++ b/components/quota/src/roster.rs
@@ -1,8 +1,8 @@
 //! Who has a share: all routers, as the platform's store has them in one order for all.
 //!
 //! A router counts each other one from when it reads of it until it is certain that the other one has no share any more. That
-//! holds because a share needs a read of the roster that is no older than [`LEASE`]: whoever has not read that another one
-//! joined, or that it was itself taken for gone, has no share [`LEASE`] later.
+//! holds because a share needs a read of the roster that is no older than [`SHARE_LEASE`]: whoever has not read that another one
+//! joined, or that it was itself taken for gone, has no share [`SHARE_LEASE`] later.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use units::Domain;
 
 /// Without a read that was sent less than this ago a router has no share.
-const LEASE: Duration = Duration::from_millis(7_500);
+const SHARE_LEASE: Duration = Duration::from_millis(7_500);
 /// Between the record of a change and its effect, so that all have read it or have lost their shares.
-const HOLD: Duration = Duration::from_millis(8_000);
+const CHANGE_DELAY: Duration = Duration::from_millis(8_000);
 /// A router writes its record again after this time.
-const RENEW: Duration = Duration::from_secs(20);
+const RENEW_INTERVAL: Duration = Duration::from_secs(20);
 /// One whose record was not written for this time, while the store was read, is taken for gone.
-const STALE: Duration = Duration::from_secs(65);
+const STALE_AFTER: Duration = Duration::from_secs(65);
 /// Records of routers that are gone are dropped after this time.
-const KEPT: Duration = Duration::from_secs(60);
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 /// How far a router is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 
 /// What the store keeps of a router, under the address at which other routers reach it: there is one process there at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct RouterRecord {
     /// Its failure domain.
     pub domain: Domain,
     /// How far it is.
@@ -46,7 +46,7 @@
 
 /// What is known of a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seat {
+pub struct RosterEntry {
     /// Its failure domain.
     pub domain: Domain,
     /// When its record was read last.
@@ -79,11 +79,11 @@
 
 /// What is to be written to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Write {
+pub enum RosterWrite {
     /// The record of a router.
-    Put(SocketAddr, Record),
+    Put(SocketAddr, RouterRecord),
     /// That of one that has been gone for long is dropped.
-    Drop(SocketAddr),
+    Delete(SocketAddr),
 }
 
 /// What this router knows of who has a share.
@@ -91,7 +91,7 @@
 pub struct Roster {
     addr: SocketAddr,
     domain: Domain,
-    seats: BTreeMap<SocketAddr, Seat>,
+    seats: BTreeMap<SocketAddr, RosterEntry>,
     own: Own,
     /// When the newest read was sent.
     read: Option<Moment>,
@@ -107,14 +107,14 @@
 
     /// Takes what a read brought that was sent then; none stands for a record that was dropped. `whole` says whether what is
     /// not among them is not there.
-    pub fn take(
+    pub fn apply_read(
         &mut self,
-        news: Vec<(SocketAddr, Option<Record>)>,
+        news: Vec<(SocketAddr, Option<RouterRecord>)>,
         whole: bool,
         sent: Moment,
         now: Moment,
     ) {
-        if self.read.is_none_or(|read| sent.since(read) > LEASE) {
+        if self.read.is_none_or(|read| sent.since(read) > SHARE_LEASE) {
             // Nobody's record could be read meanwhile.
             self.seats.values_mut().for_each(|seat| seat.seen = now);
         }
@@ -133,7 +133,7 @@
                 Some(record) => {
                     // Since when it is gone is not known to a router that has just started.
                     let seat = self.seats.entry(addr);
-                    seat.or_insert(Seat { domain: record.domain, seen: now, gone: None })
+                    seat.or_insert(RosterEntry { domain: record.domain, seen: now, gone: None })
                         .leave(now);
                     self.leave(addr);
                 }
@@ -148,7 +148,7 @@
         self.read = self.read.max(Some(sent));
     }
 
-    fn see(&mut self, addr: SocketAddr, record: Record, now: Moment) {
+    fn see(&mut self, addr: SocketAddr, record: RouterRecord, now: Moment) {
         if addr == self.addr {
             self.own = match (self.own, record.stage) {
                 // A process before this one had a share, so that all count this address.
@@ -157,7 +157,7 @@
                 (own, _) => own,
             };
         }
-        self.seats.insert(addr, Seat { domain: record.domain, seen: now, gone: None });
+        self.seats.insert(addr, RosterEntry { domain: record.domain, seen: now, gone: None });
     }
 
     fn leave(&mut self, addr: SocketAddr) {
@@ -167,40 +167,42 @@
     }
 
     /// Notes that what was to be written is written.
-    pub fn wrote(&mut self, write: &Write, now: Moment) {
+    pub fn confirm_write(&mut self, write: &RosterWrite, now: Moment) {
         match write {
-            Write::Put(addr, record) if *addr == self.addr => {
+            RosterWrite::Put(addr, record) if *addr == self.addr => {
                 self.written = Some(now);
-                let seat = Seat { domain: record.domain.clone(), seen: now, gone: None };
+                let seat = RosterEntry { domain: record.domain.clone(), seen: now, gone: None };
                 self.seats.insert(*addr, seat);
                 if self.own == Own::Absent {
                     self.own = Own::Joining(now);
                 }
             }
-            Write::Put(addr, _) => {
+            RosterWrite::Put(addr, _) => {
                 if let Some(seat) = self.seats.get_mut(addr) {
                     seat.leave(now);
                 }
             }
-            Write::Drop(addr) => {
+            RosterWrite::Delete(addr) => {
                 self.seats.remove(addr);
             }
         }
     }
 
     /// What is to be written now, if anything.
-    pub fn next_write(&mut self, now: Moment) -> Option<Write> {
-        let record = |stage| Record { domain: self.domain.clone(), stage };
+    pub fn next_write(&mut self, now: Moment) -> Option<RosterWrite> {
+        let record = |stage| RouterRecord { domain: self.domain.clone(), stage };
         match self.own {
             Own::Unread => return None,
-            Own::Absent => return Some(Write::Put(self.addr, record(Stage::Joining))),
-            Own::Joining(since) if now.since(since) >= HOLD => {
-                self.own = Own::Member(since + HOLD);
-                return Some(Write::Put(self.addr, record(Stage::Member)));
+            Own::Absent => return Some(RosterWrite::Put(self.addr, record(Stage::Joining))),
+            Own::Joining(since) if now.since(since) >= CHANGE_DELAY => {
+                self.own = Own::Member(since + CHANGE_DELAY);
+                return Some(RosterWrite::Put(self.addr, record(Stage::Member)));
             }
             Own::Joining(_) => return None,
-            Own::Member(_) if self.written.is_none_or(|written| now.since(written) >= RENEW) => {
-                return Some(Write::Put(self.addr, record(Stage::Member)));
+            Own::Member(_)
+                if self.written.is_none_or(|written| now.since(written) >= RENEW_INTERVAL) =>
+            {
+                return Some(RosterWrite::Put(self.addr, record(Stage::Member)));
             }
             Own::Member(_) => {}
         }
@@ -210,10 +212,10 @@
             return None;
         }
         self.seats.iter().find_map(|(addr, seat)| match seat.gone {
-            Some(gone) => (now.since(gone) >= KEPT).then_some(Write::Drop(*addr)),
+            Some(gone) => (now.since(gone) >= GONE_RETENTION).then_some(RosterWrite::Delete(*addr)),
             None if seat.stale(now) => {
-                let record = Record { domain: seat.domain.clone(), stage: Stage::Gone };
-                Some(Write::Put(*addr, record))
+                let record = RouterRecord { domain: seat.domain.clone(), stage: Stage::Gone };
+                Some(RosterWrite::Put(*addr, record))
             }
             None => None,
         })
@@ -223,10 +225,10 @@
     pub fn share(&self, now: Moment) -> Option<Share> {
         let since = match self.own {
             Own::Member(since) => since,
-            Own::Joining(since) if now.since(since) >= HOLD => since + HOLD,
+            Own::Joining(since) if now.since(since) >= CHANGE_DELAY => since + CHANGE_DELAY,
             Own::Unread | Own::Absent | Own::Joining(_) => return None,
         };
-        if now.since(self.read?) > LEASE {
+        if now.since(self.read?) > SHARE_LEASE {
             return None;
         }
         let counted = self.seats.values().filter(|seat| seat.counts(now)).count();
@@ -234,35 +236,35 @@
     }
 
     /// When it is likely to have a share, while it has none.
-    pub fn wait(&self, now: Moment) -> Duration {
+    pub fn time_until_share(&self, now: Moment) -> Duration {
         match self.own {
-            Own::Joining(since) => (since + HOLD).since(now),
+            Own::Joining(since) => (since + CHANGE_DELAY).since(now),
             // A first read takes some milliseconds.
             Own::Unread => Duration::ZERO,
-            Own::Absent => HOLD,
+            Own::Absent => CHANGE_DELAY,
             Own::Member(_) => Duration::ZERO,
         }
     }
 
     /// The other routers.
-    pub fn others(&self) -> impl Iterator<Item = (SocketAddr, Domain)> {
+    pub fn peers(&self) -> impl Iterator<Item = (SocketAddr, Domain)> {
         let others =
             self.seats.iter().filter(|(addr, seat)| **addr != self.addr && seat.gone.is_none());
         others.map(|(addr, seat)| (*addr, seat.domain.clone()))
     }
 }
 
-impl Seat {
+impl RosterEntry {
     fn leave(&mut self, now: Moment) {
         self.gone.get_or_insert(now);
     }
 
     fn stale(&self, now: Moment) -> bool {
-        self.gone.is_some() || now.since(self.seen) >= STALE
+        self.gone.is_some() || now.since(self.seen) >= STALE_AFTER
     }
 
     fn counts(&self, now: Moment) -> bool {
-        self.gone.is_none_or(|gone| now.since(gone) < HOLD)
+        self.gone.is_none_or(|gone| now.since(gone) < CHANGE_DELAY)
     }
 }
 
--- a/components/quota/tests/limits/callers.rs
+++ b/components/quota/tests/limits/callers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quota::{Bucket, Lenders, Terms, is_dry, may_ask};
+use quota::{Bucket, BucketSpec, Lenders, has_time_for_wave, likely_exhausted};
 use rand::RngExt;
 
 use super::world::{BOUNDS, DOMAINS, Faults, KILLED, Press, STEP, Sharing, World};
@@ -74,7 +74,7 @@
             if let Some((taken, share)) = own {
                 let moment = self.at(self.now);
                 if let Some((bucket, _)) = &mut self.routers[at].bucket {
-                    bucket.put_back(share, taken, moment);
+                    bucket.refund(share, taken, moment);
                     bucket.add(share, cost - taken.tokens - missing, moment);
                 }
             }
@@ -84,7 +84,7 @@
         true
     }
 
-    fn take(&mut self, at: usize, most: f64) -> Option<(quota::Taken, Terms)> {
+    fn take(&mut self, at: usize, most: f64) -> Option<(quota::TakenTokens, BucketSpec)> {
         let moment = self.at(self.now);
         let router = &mut self.routers[at];
         let share = router.roster.share(moment)?;
@@ -103,22 +103,22 @@
             return (wanted, 0);
         }
         let others: Vec<SocketAddr> =
-            self.routers[at].roster.others().map(|(addr, _)| addr).collect();
+            self.routers[at].roster.peers().map(|(addr, _)| addr).collect();
         let mut rng = self.rng.clone();
         self.rng.random::<u64>();
         let Some(share) = self.routers[at].roster.share(self.at(now)) else { return (wanted, 0) };
         let terms = self.terms.share(share.count);
         let mut lenders = Lenders::new(others, wanted, terms, || rng.random());
         let (mut missing, mut took, mut asked) = (wanted, 0, 0);
-        while missing > 0.0 && may_ask(Duration::from_millis(took)) {
+        while missing > 0.0 && has_time_for_wave(Duration::from_millis(took)) {
             let wave = lenders.next_wave();
-            if wave.is_empty() || is_dry(asked, wanted, wanted - missing) {
+            if wave.is_empty() || likely_exhausted(asked, wanted, wanted - missing) {
                 break;
             }
             asked += wave.len();
             // Its own bucket takes what is more.
             #[allow(clippy::cast_precision_loss, reason = "few")]
-            let tokens = (missing + terms.depth) / wave.len() as f64;
+            let tokens = (missing + terms.capacity) / wave.len() as f64;
             let mut longest = 0;
             for addr in wave {
                 self.messages += 1;
@@ -141,7 +141,7 @@
         {
             bucket.add(terms, -missing, moment);
         }
-        if is_dry(asked, wanted, wanted - missing) {
+        if likely_exhausted(asked, wanted, wanted - missing) {
             self.routers[at].dry = now + 500;
         }
         (missing.max(0.0), took)
--- a/components/quota/tests/limits/world.rs
+++ b/components/quota/tests/limits/world.rs
@@ -6,7 +6,7 @@
 
 use catalog::Limit;
 use clock::Moment;
-use quota::{Bounds, Bucket, Record, Roster, Terms, Write, lendable};
+use quota::{Bounds, Bucket, BucketSpec, Roster, RosterWrite, RouterRecord, lendable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use units::Domain;
@@ -90,9 +90,15 @@
 #[derive(Debug)]
 enum Call {
     /// A read: when it was sent, whether it reads all, what it brought, when that arrives.
-    Read { sent: u64, whole: bool, news: Vec<(SocketAddr, Option<Record>)>, next: usize, at: u64 },
+    Read {
+        sent: u64,
+        whole: bool,
+        news: Vec<(SocketAddr, Option<RouterRecord>)>,
+        next: usize,
+        at: u64,
+    },
     /// A write, done already or to be done, and when its answer arrives, if it does.
-    Put { write: Write, at: u64, answered: bool },
+    Put { write: RosterWrite, at: u64, answered: bool },
 }
 
 #[derive(Debug)]
@@ -119,9 +125,9 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) start: Moment,
     pub(super) now: u64,
-    log: Vec<(SocketAddr, Option<Record>)>,
+    log: Vec<(SocketAddr, Option<RouterRecord>)>,
     /// Writes that the store does later than they were sent.
-    late: Vec<(u64, Write)>,
+    late: Vec<(u64, RosterWrite)>,
     pub(super) routers: Vec<Router>,
     /// What was let in: when, and how much.
     pub(super) admitted: VecDeque<(u64, f64)>,
@@ -134,7 +140,7 @@
     pub(super) since_killed: Vec<(u32, u32)>,
     pub(super) messages: u32,
     calls: u32,
-    pub(super) terms: Terms,
+    pub(super) terms: BucketSpec,
     allowed: f64,
 }
 
@@ -143,7 +149,7 @@
 
 impl Router {
     /// What it lends of what is asked for.
-    pub(super) fn fair(&mut self, now: u64, most: f64, terms: Terms, start: Moment) -> f64 {
+    pub(super) fn fair(&mut self, now: u64, most: f64, terms: BucketSpec, start: Moment) -> f64 {
         let moment = start + Duration::from_millis(now);
         let Some(share) = self.roster.share(moment) else { return 0.0 };
         let Some((bucket, _)) = &mut self.bucket else { return most };
@@ -171,7 +177,7 @@
             since_killed: Vec::new(),
             messages: 0,
             calls: 0,
-            terms: Terms::new(limit, BOUNDS),
+            terms: BucketSpec::new(limit, BOUNDS),
             allowed: BOUNDS.allowed(limit),
             plan,
         };
@@ -307,16 +313,16 @@
         let (due, late) =
             std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
         self.late = late;
-        let due: Vec<(u64, Write)> = due;
+        let due: Vec<(u64, RosterWrite)> = due;
         for (_, write) in due {
             self.append(write);
         }
     }
 
-    fn append(&mut self, write: Write) {
+    fn append(&mut self, write: RosterWrite) {
         self.log.push(match write {
-            Write::Put(addr, record) => (addr, Some(record)),
-            Write::Drop(addr) => (addr, None),
+            RosterWrite::Put(addr, record) => (addr, Some(record)),
+            RosterWrite::Delete(addr) => (addr, None),
         });
     }
 
@@ -336,13 +342,13 @@
             Some(Call::Read { sent, whole, news, next, at }) if at <= now => {
                 router.next = Some(next);
                 let sent = self.start + Duration::from_millis(sent);
-                router.roster.take(news, whole, sent, moment);
+                router.roster.apply_read(news, whole, sent, moment);
                 router.idle = now + if router.roster.share(moment).is_some() { READ } else { 300 };
                 self.write(number);
             }
             Some(Call::Put { write, at, answered }) if at <= now => {
                 if answered {
-                    router.roster.wrote(&write, moment);
+                    router.roster.confirm_write(&write, moment);
                     self.write(number);
                 } else {
                     router.idle = now + RETRY;
@@ -395,8 +401,8 @@
     }
 }
 
-fn newest(log: &[(SocketAddr, Option<Record>)]) -> Vec<(SocketAddr, Option<Record>)> {
-    let mut all: std::collections::BTreeMap<SocketAddr, Option<Record>> = Default::default();
+fn newest(log: &[(SocketAddr, Option<RouterRecord>)]) -> Vec<(SocketAddr, Option<RouterRecord>)> {
+    let mut all: std::collections::BTreeMap<SocketAddr, Option<RouterRecord>> = Default::default();
     for (addr, record) in log {
         all.insert(*addr, record.clone());
     }
--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use access::{Credential, Denial, Lookup, Proof, Verdict, judge};
+use access::{AccessCheck, AccessDecision, Credential, Denial, Freshness, decide_access};
 use catalog::{Catalog, KeyDigest, Route, Workspace, Workspaces};
 use clock::Moment;
 use control::{DeniedKey, Proved};
@@ -37,7 +37,7 @@
 /// What a router knows of keys besides the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Access {
-    proof: watch::Sender<Proof>,
+    proof: watch::Sender<Freshness>,
     revoked: Mutex<HashSet<KeyDigest>>,
     waiting: AtomicUsize,
     denied: Mutex<VecDeque<DeniedKey>>,
@@ -73,12 +73,12 @@
 
     /// Takes that a read of the store which was sent then showed that there is no newer configuration.
     pub(crate) fn prove(&self, sent: Moment) {
-        self.proof.send_modify(|proof| proof.extend(sent));
+        self.proof.send_modify(|proof| proof.record_read(sent));
     }
 
     /// Takes the word of another router, asked at a moment, on the configuration that is in force here.
     pub(crate) fn prove_by_word(&self, sent: Moment, age: Duration) {
-        self.proof.send_modify(|proof| proof.extend_by_word(sent, age));
+        self.proof.send_modify(|proof| proof.record_peer_read(sent, age));
     }
 
     /// What another router may take for proved of a version.
@@ -101,7 +101,7 @@
     /// Whether keys may be served.
     pub(crate) fn holds(&self, bound: Option<Span>) -> bool {
         let proof = *self.proof.borrow();
-        bound.is_none_or(|Span(bound)| proof.holds(Moment::now(), bound))
+        bound.is_none_or(|Span(bound)| proof.is_fresh(Moment::now(), bound))
     }
 
     /// When callers may come back to a router that has no proof.
@@ -171,21 +171,23 @@
         Credential::Key(key) => shared.access.revoked().contains(&key),
         Credential::Absent | Credential::Malformed => false,
     };
-    let lookup = Lookup {
+    let lookup = AccessCheck {
         credential: arrival.credential,
-        open: route.open,
+        anonymous_allowed: route.open,
         workspaces: catalog.workspaces.as_ref(),
         revoked,
-        proof: *shared.access.proof.borrow(),
-        bound: bound.map(|Span(bound)| bound),
+        freshness: *shared.access.proof.borrow(),
+        revocation_bound: bound.map(|Span(bound)| bound),
         arrived: arrival.arrived,
         now: Moment::now(),
     };
-    match judge(&lookup) {
-        Verdict::Unmanaged => Ok(Some(Identity::Unmanaged)),
-        Verdict::Anonymous => Ok(Some(Identity::Anonymous)),
-        Verdict::Member(workspace) => Ok(Some(Identity::Member(Arc::new(workspace.clone())))),
-        Verdict::Denied(denial) => {
+    match decide_access(&lookup) {
+        AccessDecision::Unmanaged => Ok(Some(Identity::Unmanaged)),
+        AccessDecision::Anonymous => Ok(Some(Identity::Anonymous)),
+        AccessDecision::Member(workspace) => {
+            Ok(Some(Identity::Member(Arc::new(workspace.clone()))))
+        }
+        AccessDecision::Denied(denial) => {
             let cause = match denial {
                 Denial::Missing => "no key",
                 Denial::Malformed => "no key can be read",
@@ -196,7 +198,7 @@
             let status = StatusCode::UNAUTHORIZED;
             Err(Failure { status, cause: Refusal::Unauthorized, after: None })
         }
-        Verdict::Unread => {
+        AccessDecision::NeedsRead => {
             let until = arrival.until.min(Instant::now() + PATIENCE);
             if shared.access.read_since(arrival.arrived, until).await {
                 return Ok(None);
@@ -204,7 +206,7 @@
             tell(shared, catalog, arrival, &lookup, "the store was not read in time");
             Err(unproved(shared))
         }
-        Verdict::Unproved => {
+        AccessDecision::Stale => {
             tell(shared, catalog, arrival, &lookup, "the store was not read for too long");
             Err(unproved(shared))
         }
@@ -221,7 +223,7 @@
     shared: &Shared,
     catalog: &Catalog,
     arrival: &Arrival<'_>,
-    lookup: &Lookup<'_>,
+    lookup: &AccessCheck<'_>,
     cause: &str,
 ) {
     let key = match arrival.credential {
@@ -234,6 +236,6 @@
         key: &key,
         cause,
         version: catalog.version.0,
-        age_ms: lookup.proof.age(lookup.now).map_or(0, millis),
+        age_ms: lookup.freshness.age(lookup.now).map_or(0, millis),
     });
 }
--- a/components/router/src/borrow.rs
+++ b/components/router/src/borrow.rs
@@ -11,7 +11,7 @@
 use futures_util::stream::FuturesUnordered;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
-use quota::{Lenders, PATIENCE, Terms, is_dry, may_ask};
+use quota::{BucketSpec, LENDER_TIMEOUT, Lenders, has_time_for_wave, likely_exhausted};
 use units::WorkspaceName;
 use web::{Body, CallError};
 
@@ -33,7 +33,7 @@
 pub(crate) async fn borrow(
     shared: &Shared,
     workspace: &WorkspaceName,
-    terms: Terms,
+    terms: BucketSpec,
     missing: f64,
     begun: Moment,
 ) -> Borrowed {
@@ -44,18 +44,21 @@
     let equal = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
     let share = terms.share(quotas.share(Moment::now()).map_or(equal, |share| share.count));
     let mut lenders = Lenders::new(others, missing, share, rand::random);
-    while lent.tokens < missing && may_ask(begun.elapsed()) {
+    while lent.tokens < missing && has_time_for_wave(begun.elapsed()) {
         let wave = lenders.next_wave();
-        if wave.is_empty() || is_dry(lent.asked, missing, lent.tokens) {
+        if wave.is_empty() || likely_exhausted(lent.asked, missing, lent.tokens) {
             break;
         }
-        let each = (missing - lent.tokens + share.depth) / wave.len() as f64;
+        let each = (missing - lent.tokens + share.capacity) / wave.len() as f64;
         lent.asked += wave.len();
-        let asked = wave.into_iter().map(|router| {
-            let borrow = Borrow { workspace: workspace.clone(), tokens: each };
-            let client = shared.client.clone();
-            async move { (router, control::ask_tokens(&client, router, &borrow, PATIENCE).await) }
-        });
+        let asked =
+            wave.into_iter().map(|router| {
+                let borrow = Borrow { workspace: workspace.clone(), tokens: each };
+                let client = shared.client.clone();
+                async move {
+                    (router, control::ask_tokens(&client, router, &borrow, LENDER_TIMEOUT).await)
+                }
+            });
         let mut asked: FuturesUnordered<_> = asked.collect();
         // One that does not answer is not waited for where the others have enough.
         while lent.tokens < missing
@@ -69,7 +72,7 @@
             }
         }
     }
-    quotas.asked(workspace, is_dry(lent.asked, missing, lent.tokens));
+    quotas.asked(workspace, likely_exhausted(lent.asked, missing, lent.tokens));
     lent
 }
 
@@ -92,7 +95,7 @@
     let workspace = workspaces.and_then(|workspaces| workspaces.named(&borrow.workspace));
     let limit = workspace.and_then(|workspace| workspace.limit);
     let lent = limit.and_then(|limit| {
-        let terms = Terms::new(limit, shared.bounds());
+        let terms = BucketSpec::new(limit, shared.bounds());
         shared.quotas.lend(&borrow.workspace, terms, borrow.tokens)
     });
     web::json(StatusCode::OK, &Lent { tokens: lent.unwrap_or(0.0) })
--- a/components/router/src/charge.rs
+++ b/components/router/src/charge.rs
@@ -6,7 +6,7 @@
 use clock::Moment;
 use events::{Event, Refusal, emit};
 use http::StatusCode;
-use quota::{TRANSIT, Taken, Terms};
+use quota::{BucketSpec, LOAN_TIMEOUT, TakenTokens};
 use tokio::time::Instant;
 use units::WorkspaceName;
 
@@ -20,7 +20,7 @@
     shared: Arc<Shared>,
     workspace: WorkspaceName,
     limit: Limit,
-    own: Taken,
+    own: TakenTokens,
     since: Moment,
     /// Whether the request is, or may be, at an endpoint.
     pub(crate) spent: bool,
@@ -29,7 +29,7 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if !self.spent {
-            let terms = Terms::new(self.limit, self.shared.bounds());
+            let terms = BucketSpec::new(self.limit, self.shared.bounds());
             self.shared.quotas.put_back(&self.workspace, terms, self.own, self.since);
         }
     }
@@ -49,7 +49,7 @@
     let quotas = &shared.quotas;
     let cost = f64::from(workspace.unit.cost(tokens));
     let bounds = shared.bounds();
-    let terms = Terms::new(limit, bounds);
+    let terms = BucketSpec::new(limit, bounds);
     let name = &workspace.name;
     quotas.first_read(until).await;
     let begun = Moment::now();
@@ -75,7 +75,7 @@
     } else {
         Borrowed::default()
     };
-    if begun.elapsed() <= TRANSIT {
+    if begun.elapsed() <= LOAN_TIMEOUT {
         let used = if lent.tokens >= missing { missing } else { 0.0 };
         quotas.add(name, terms, lent.tokens - used);
         if used > 0.0 {
--- a/components/router/src/ended.rs
+++ b/components/router/src/ended.rs
@@ -185,8 +185,8 @@
     let askable =
         shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
     if askable {
-        return match platform::read_report(&shared.client, addr, PATIENCE).await {
-            Ok(report) if Life::differ(report.life, life) => Answer::Other,
+        return match platform::fetch_report(&shared.client, addr, PATIENCE).await {
+            Ok(report) if Life::differ(report.incarnation, life) => Answer::Other,
             Ok(_) => Answer::Same,
             Err(error) => {
                 log::debug!("router: {id} did not tell whether it is there: {error}");
@@ -195,9 +195,9 @@
         };
     }
     match shared.health(id, PATIENCE).await {
-        Some(Health::Other) => Answer::Other,
+        Some(Health::OtherInstance) => Answer::Other,
         // It may have started again under its id; the list tells then.
-        Some(Health::Well | Health::Full | Health::Unfit) => Answer::Same,
+        Some(Health::Healthy | Health::Overloaded | Health::Unhealthy) => Answer::Same,
         None => Answer::None,
     }
 }
--- a/components/router/src/exchange.rs
+++ b/components/router/src/exchange.rs
@@ -8,7 +8,7 @@
 use http::{Method, Request, Response, Uri, response};
 use hyper::body::Incoming;
 use hyper::client::conn::TrySendError;
-use platform::Sending;
+use platform::ForwardOptions;
 use quarantine::Digest;
 use tokio::time::Instant;
 use web::Body;
@@ -86,7 +86,7 @@
     mut place: Place,
     caller: &Caller,
     outgoing: &Outgoing,
-    sending: &Sending<'_>,
+    sending: &ForwardOptions<'_>,
     patience: Patience,
     leave: impl Fn() -> bool,
 ) -> Sent {
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -8,7 +8,7 @@
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
 use fleet::Change;
-use platform::{Batch, Follower, News, Store, StoreError, Topic};
+use platform::{Batch, Follower, Store, StoreError, Topic, Update};
 use tokio::time::Instant;
 use units::{Revision, Span};
 
@@ -84,7 +84,7 @@
 /// client's patience, and the next one still has to bring the news within `bound`.
 fn longest(shared: &Shared, bound: Span) -> Duration {
     let longest = if shared.away_since().is_some() { LONGEST_FIRST } else { LONGEST };
-    longest.min(wait(bound, platform::PATIENCE))
+    longest.min(wait(bound, platform::STORE_TIMEOUT))
 }
 
 /// The part of `bound` that a read may wait, if reads begin `pace` apart.
@@ -155,21 +155,21 @@
 /// `newest` is the version of the newest record, as far as that can be read.
 fn take_config(shared: &Shared, batch: Batch, newest: &mut Option<Revision>) -> bool {
     let mut fresh = false;
-    if batch.whole {
+    if batch.complete {
         // A store that has come back from a copy may have none.
         *newest = None;
     }
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Config(catalog) => {
+            Update::Config(catalog) => {
                 *newest = Some(catalog.version);
                 fresh |= adopt(shared, catalog);
             }
-            News::Unreadable(cause) => {
+            Update::InvalidConfig(cause) => {
                 *newest = None;
                 emit(&Event::Unreadable { dependency: Dependency::Configuration, cause: &cause });
             }
-            News::Member(_) | News::Foreign(..) | News::Own(..) => {}
+            Update::Endpoint(_) | Update::InvalidEndpoint(..) | Update::Record(..) => {}
         }
     }
     fresh
@@ -197,12 +197,12 @@
 
 /// Follows the list of endpoints for as long as the process runs.
 pub(crate) async fn members(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store, Topic::Servers);
+    let mut follower = Follower::new(store, Topic::Endpoints);
     let mut contact = Contact::new(Dependency::Membership);
     let mut foreign = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
-        follower.skip(shared.known.lock().read);
+        follower.skip_to(shared.known.lock().read);
         match follower.next(contact.wait(bounds.drain, LIST_PACE)).await {
             Ok(batch) => {
                 contact.reached();
@@ -210,12 +210,12 @@
                     // What servers wrote since the copy was made, they write again.
                     contact.returned = Some(Instant::now());
                     let (before, read) =
-                        (shared.known.lock().read.to_string(), batch.read.to_string());
+                        (shared.known.lock().read.to_string(), batch.position.to_string());
                     let (before, read) = (before.as_str(), read.as_str());
                     emit(&Event::Restored { dependency: Dependency::Membership, before, read });
                 }
                 let until = contact.returned.map(|returned| returned + LAPSE);
-                let more = batch.more;
+                let more = batch.has_more;
                 take_members(&shared, batch, until, &mut foreign);
                 shared.read_store(Feed::Membership, true);
                 // What is left of a long absence is not put off.
@@ -238,25 +238,25 @@
     foreign: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Member(change) => {
+            Update::Endpoint(change) => {
                 if let Change::Seen(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
-            News::Foreign(key, cause) => {
+            Update::InvalidEndpoint(key, cause) => {
                 // It may stand where an endpoint was.
                 changes.extend(key.parse().map(Change::Gone));
                 if foreign.len() < FOREIGN && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
             }
-            News::Config(_) | News::Unreadable(_) | News::Own(..) => {}
+            Update::Config(_) | Update::InvalidConfig(_) | Update::Record(..) => {}
         }
     }
-    let news = Listed { changes, whole: batch.whole, read: batch.read };
+    let news = Listed { changes, whole: batch.complete, read: batch.position };
     let missing = shared.known.apply(news, until);
     missing::ask(shared, missing);
     peer::follow_new(shared);
--- a/components/router/src/flight.rs
+++ b/components/router/src/flight.rs
@@ -6,7 +6,7 @@
 use catalog::{Catalog, Route};
 use events::{Event, Refusal, Step, emit, millis};
 use http::StatusCode;
-use platform::{Call, Reply, Sending};
+use platform::{ForwardOptions, RequestHeaders, ResponseKind};
 use tokio::time::Instant;
 use units::{EndpointId, Life, ServiceName};
 
@@ -47,7 +47,7 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
-    pub(crate) call: Call,
+    pub(crate) call: RequestHeaders,
     pub(crate) name: String,
     pub(crate) class: String,
     pub(crate) outgoing: Outgoing,
@@ -98,9 +98,9 @@
             self.sends += 1;
             self.spend(true);
             let now = Instant::now();
-            let sending = Sending {
+            let sending = ForwardOptions {
                 endpoint: &id,
-                left: self.due.saturating_duration_since(now),
+                time_left: self.due.saturating_duration_since(now),
                 priority: self.priority(),
                 last_event,
                 workspace: self.identity.workspace().map(|workspace| &workspace.name),
@@ -269,8 +269,8 @@
 
     async fn judge(&mut self, mut answer: Answer, id: &EndpointId) -> Judged {
         let status = answer.head.status;
-        match platform::read_reply(&self.call.id, status, &answer.head.headers) {
-            Reply::Ran => {
+        match platform::classify_response(&self.call.id, status, &answer.head.headers) {
+            ResponseKind::Executed => {
                 self.shared.known.worked(id, self.life);
                 self.runs += 1;
                 let again = self.route.kind == catalog::CallKind::Safe
@@ -284,13 +284,13 @@
                 self.tried.push(id.clone());
                 Judged::Again
             }
-            Reply::NotRun => {
+            ResponseKind::NotExecuted => {
                 self.step(Step::NotRun, id, status.as_str());
                 answer.place.outlived();
                 drop(answer);
                 self.not_run(id).await
             }
-            Reply::Misdirected => {
+            ResponseKind::Misdirected => {
                 self.step(Step::NotRun, id, status.as_str());
                 let other = platform::instance_of(&answer.head.headers).is_some_and(|o| o != *id);
                 answer.place.outlived();
@@ -303,7 +303,7 @@
                 }
                 self.not_run(id).await
             }
-            Reply::Foreign => {
+            ResponseKind::Untrusted => {
                 drop(answer);
                 match self.broken(id, "the answer belongs to another request") {
                     Ok(()) => Judged::Again,
--- a/components/router/src/known.rs
+++ b/components/router/src/known.rs
@@ -10,7 +10,7 @@
 use events::{Event, emit, millis};
 use fleet::Tier;
 use placement::{Demand, Pressure};
-use platform::Notice;
+use platform::EndpointHints;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use units::{EndpointId, Life, ModelName, ServiceName, StorePosition};
@@ -129,15 +129,15 @@
         &self,
         id: &EndpointId,
         life: Option<Life>,
-        notice: Notice,
+        notice: EndpointHints,
         same: impl Fn(&Peer) -> bool,
     ) {
-        if notice == Notice::default() {
+        if notice == EndpointHints::default() {
             return;
         }
-        let after = notice.after.map(|after| after.min(AWAY));
+        let after = notice.retry_after.map(|after| after.min(AWAY));
         let until = after.map(|after| Instant::now() + after);
-        let new = Said { leaving: notice.leaving, until, heard: stamp() };
+        let new = Said { leaving: notice.draining, until, heard: stamp() };
         let mut peers = self.lock();
         let Some(peer) = peers.map.get_mut(id) else {
             // An older entry may come back.
@@ -152,7 +152,7 @@
         if peer.said.leaving {
             peer.pool.retire();
         }
-        if stayed && notice.leaving {
+        if stayed && notice.draining {
             let (addr, cause) = (peer.endpoint.addr.to_string(), "it says so in an answer");
             emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
         }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/ledger.rs
@@ -6,7 +6,7 @@
 use control::{Kept, LetGo};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
-use platform::{Follower, News, Put, Store, StoreError, Topic};
+use platform::{Follower, PutOutcome, Store, StoreError, Topic, Update};
 use quarantine::{Digest, Note, Stamp, Table, Trial};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
 
 /// Reads what other routers have written, for as long as the process runs.
 pub(crate) async fn read(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store.clone(), Topic::Ends);
+    let mut follower = Follower::new(store.clone(), Topic::EndedEndpoints);
     let mut away: Option<Instant> = None;
     loop {
         let begun = Instant::now();
@@ -53,12 +53,12 @@
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.read));
-                let empty = batch.news.is_empty() && !batch.whole;
+                shared.ends_read.send_replace(Some(batch.position));
+                let empty = batch.updates.is_empty() && !batch.complete;
                 if batch.restored {
-                    write_again(&shared, &batch.news);
+                    write_again(&shared, &batch.updates);
                 }
-                let stale = take(&shared, batch.news);
+                let stale = take(&shared, batch.updates);
                 drop_stale(&store, stale).await;
                 if empty && begun.elapsed() < LEAST {
                     tokio::time::sleep(LEAST).await;
@@ -76,10 +76,10 @@
 
 /// Writes again what the copy of the store does not have that it came back from. Whoever knows of a record may, since the router
 /// that wrote it may be gone; all wait for different times, so that most find that another one has.
-fn write_again(shared: &Arc<Shared>, news: &[News]) {
+fn write_again(shared: &Arc<Shared>, news: &[Update]) {
     let there = |key: &String| {
         news.iter().any(
-            |news| matches!(news, News::Own(other, value) if other == key && !value.is_empty()),
+            |news| matches!(news, Update::Record(other, value) if other == key && !value.is_empty()),
         )
     };
     let missing: Vec<Kept> =
@@ -90,10 +90,11 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         tokio::time::sleep(AGAIN.mul_f64(rand::random())).await;
-        let all = Follower::new(shared.store.clone(), Topic::Ends).next(Duration::ZERO).await;
-        let written: Vec<News> = all.map(|batch| batch.news).unwrap_or_default();
+        let all =
+            Follower::new(shared.store.clone(), Topic::EndedEndpoints).next(Duration::ZERO).await;
+        let written: Vec<Update> = all.map(|batch| batch.updates).unwrap_or_default();
         let there = |key: &String| {
-            written.iter().any(|news| matches!(news, News::Own(other, _) if other == key))
+            written.iter().any(|news| matches!(news, Update::Record(other, _) if other == key))
         };
         for kept in missing.into_iter().filter(|kept| !there(&kept.key)) {
             shared.guard.write(kept);
@@ -102,11 +103,11 @@
 }
 
 /// Takes records; returns the keys of those that are too old to count.
-fn take(shared: &Shared, news: Vec<News>) -> Vec<String> {
+fn take(shared: &Shared, news: Vec<Update>) -> Vec<String> {
     let (mut all, mut stale) = (Vec::new(), Vec::new());
     let now = stamp();
     for news in news {
-        let News::Own(key, value) = news else { continue };
+        let Update::Record(key, value) = news else { continue };
         // One that was dropped is too old to count.
         if value.is_empty() {
             continue;
@@ -127,7 +128,7 @@
 /// Drops some records that are too old to count, so that they don't pile up. All routers may drop the same ones, which does no harm.
 async fn drop_stale(store: &Store, stale: Vec<String>) {
     for key in stale.into_iter().take(DROPPED) {
-        if let Err(error) = store.put(Topic::Ends, &key, &[], None).await {
+        if let Err(error) = store.put(Topic::EndedEndpoints, &key, &[], None).await {
             log::debug!("router: an old record of an ended endpoint stays for now: {error}");
             return;
         }
@@ -150,8 +151,8 @@
 ) {
     while let Some(kept) = records.recv().await {
         let value = serde_json::to_vec(&kept.note).unwrap_or_default();
-        while let Err(error) = store.put(Topic::Ends, &kept.key, &value, None).await {
-            if error.is_final() || Table::stale(&kept.note, stamp()) {
+        while let Err(error) = store.put(Topic::EndedEndpoints, &kept.key, &value, None).await {
+            if error.is_permanent() || Table::stale(&kept.note, stamp()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -228,9 +229,9 @@
     let note = Note::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
-    match shared.store.put(Topic::Ends, &key, &value, Some(read?)).await {
-        Ok(Put::Written) => {}
-        Ok(Put::Moved) => return None,
+    match shared.store.put(Topic::EndedEndpoints, &key, &value, Some(read?)).await {
+        Ok(PutOutcome::Written) => {}
+        Ok(PutOutcome::Conflict) => return None,
         Err(error) => {
             log::debug!("router: a suspect is not tried, since the store can't be asked: {error}");
             return None;
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -36,18 +36,18 @@
     while shared.known.missing_until(&id) == Some(until) {
         let health = shared.health(&id, PATIENCE).await;
         let next = match health {
-            Some(Health::Well) => AGAIN,
+            Some(Health::Healthy) => AGAIN,
             // Whether a full one is leaving is not known; it could run nothing more anyway.
-            Some(Health::Full) | None => {
+            Some(Health::Overloaded) | None => {
                 pause *= 2;
                 pause / 2
             }
-            Some(Health::Unfit) => return shared.known.give_up(&id, "it says that it leaves"),
-            Some(Health::Other) => {
+            Some(Health::Unhealthy) => return shared.known.give_up(&id, "it says that it leaves"),
+            Some(Health::OtherInstance) => {
                 return shared.known.give_up(&id, "another endpoint has its address");
             }
         };
-        shared.known.note_silence(&id, health != Some(Health::Well));
+        shared.known.note_silence(&id, health != Some(Health::Healthy));
         let next = Instant::now() + next;
         tokio::time::sleep_until(next.min(until)).await;
         if next >= until {
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -107,7 +107,7 @@
             return;
         }
         let same = |peer: &Peer| Arc::ptr_eq(&peer.pool, &self.pool);
-        let notice = platform::read_notice(status, headers);
+        let notice = platform::read_endpoint_hints(status, headers);
         self.shared.known.noticed(&self.id, self.life, notice, same);
     }
 
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -9,7 +9,9 @@
 use clock::Moment;
 use control::{WorkspaceReport, WorkspacesReport};
 use events::{Event, emit, millis};
-use quota::{Bucket, Meter, Record, Roster, Share, Taken, Terms, Write, lendable};
+use quota::{
+    Bucket, BucketSpec, Meter, Roster, RosterWrite, RouterRecord, Share, TakenTokens, lendable,
+};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use units::{Domain, WorkspaceName};
@@ -86,12 +88,17 @@
     }
 
     /// Takes records of the roster that a read which was sent then brought.
-    pub(crate) fn read(&self, news: Vec<(SocketAddr, Option<Record>)>, whole: bool, sent: Moment) {
+    pub(crate) fn read(
+        &self,
+        news: Vec<(SocketAddr, Option<RouterRecord>)>,
+        whole: bool,
+        sent: Moment,
+    ) {
         let now = Moment::now();
         let mut roster = self.roster();
         let count = |roster: &Roster| roster.share(now).map_or(0, |share| share.count);
         let before = count(&roster);
-        roster.take(news, whole, sent, now);
+        roster.apply_read(news, whole, sent, now);
         self.started.send_replace(true);
         let shares = count(&roster);
         if shares != before {
@@ -109,13 +116,13 @@
     }
 
     /// What is to be written to the roster.
-    pub(crate) fn next_write(&self) -> Option<Write> {
+    pub(crate) fn next_write(&self) -> Option<RosterWrite> {
         self.roster().next_write(Moment::now())
     }
 
     /// Notes that it is written.
-    pub(crate) fn wrote(&self, write: &Write) {
-        self.roster().wrote(write, Moment::now());
+    pub(crate) fn wrote(&self, write: &RosterWrite) {
+        self.roster().confirm_write(write, Moment::now());
     }
 
     /// The share of this router, if it has one.
@@ -141,9 +148,9 @@
     pub(crate) fn take(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
+        terms: BucketSpec,
         most: f64,
-    ) -> Option<(Taken, Moment)> {
+    ) -> Option<(TakenTokens, Moment)> {
         let now = Moment::now();
         self.with(workspace, |pocket, count| {
             pocket.used = Some(now);
@@ -152,7 +159,12 @@
     }
 
     /// Takes what another router may have of so many tokens.
-    pub(crate) fn lend(&self, workspace: &WorkspaceName, terms: Terms, most: f64) -> Option<f64> {
+    pub(crate) fn lend(
+        &self,
+        workspace: &WorkspaceName,
+        terms: BucketSpec,
+        most: f64,
+    ) -> Option<f64> {
         let now = Moment::now();
         self.with(workspace, |pocket, count| {
             let share = terms.share(count);
@@ -163,7 +175,7 @@
     }
 
     /// Adds what other routers lent beyond what was used.
-    pub(crate) fn add(&self, workspace: &WorkspaceName, terms: Terms, tokens: f64) {
+    pub(crate) fn add(&self, workspace: &WorkspaceName, terms: BucketSpec, tokens: f64) {
         self.with(workspace, |pocket, count| {
             pocket.bucket.add(terms.share(count), tokens, Moment::now());
         });
@@ -173,13 +185,13 @@
     pub(crate) fn put_back(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
-        taken: Taken,
+        terms: BucketSpec,
+        taken: TakenTokens,
         since: Moment,
     ) {
         self.with(workspace, |pocket, count| {
             if pocket.since == since {
-                pocket.bucket.put_back(terms.share(count), taken, Moment::now());
+                pocket.bucket.refund(terms.share(count), taken, Moment::now());
             }
         });
     }
@@ -188,7 +200,7 @@
     pub(crate) fn count(&self, workspace: &WorkspaceName, cost: f64, let_in: bool) {
         self.with(workspace, |pocket, _| {
             if let_in {
-                pocket.meter.count(cost, Moment::now());
+                pocket.meter.record(cost, Moment::now());
             } else {
                 pocket.refused += 1;
             }
@@ -203,7 +215,7 @@
     pub(crate) fn lenders(&self) -> Vec<SocketAddr> {
         let (now, silent) = (Moment::now(), self.silent());
         let answers = |addr: &SocketAddr| silent.get(addr).is_none_or(|until| *until <= now);
-        self.roster().others().map(|(addr, _)| addr).filter(answers).collect()
+        self.roster().peers().map(|(addr, _)| addr).filter(answers).collect()
     }
 
     pub(crate) fn note_silence(&self, router: SocketAddr, silent: bool) {
@@ -237,15 +249,15 @@
     pub(crate) fn back(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
+        terms: BucketSpec,
         cost: f64,
         window: Duration,
     ) -> Duration {
         let own = self.with(workspace, |pocket, count| {
             let share = terms.share(count);
-            pocket.bucket.wait(share, cost.min(share.depth), Moment::now())
+            pocket.bucket.time_until(share, cost.min(share.capacity), Moment::now())
         });
-        let back = own.unwrap_or_else(|| self.roster().wait(Moment::now()));
+        let back = own.unwrap_or_else(|| self.roster().time_until_share(Moment::now()));
         back.clamp(SOONEST_BACK, window).mul_f64(1.0 + SPREAD * rand::random::<f64>())
     }
 }
@@ -259,7 +271,7 @@
     let workspaces = catalog.workspaces.iter().flat_map(Workspaces::iter);
     let workspaces = workspaces.map(|workspace| {
         let used = workspace.limit.and_then(|limit| {
-            let terms = Terms::new(limit, bounds);
+            let terms = BucketSpec::new(limit, bounds);
             quotas.with(&workspace.name, |pocket, count| {
                 let left = pocket.bucket.level(terms.share(count), now);
                 (left, pocket.meter.rate(now), pocket.refused)
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -10,7 +10,7 @@
 use http::header::{self, HeaderValue};
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
-use platform::Call;
+use platform::RequestHeaders;
 use process::Phase;
 use quarantine::Digest;
 use tokio::time::Instant;
@@ -95,7 +95,7 @@
 ) -> Result<Response<Body>, Failure> {
     let (mut parts, body) = request.into_parts();
     let malformed = || own(StatusCode::BAD_REQUEST, Refusal::Malformed, None);
-    let call = platform::read_call(&parts).map_err(|_| malformed())?;
+    let call = platform::parse_request_headers(&parts).map_err(|_| malformed())?;
     let Entry { catalog, route, identity } = enter(shared, &call, &parts, times).await?;
     let service = route
         .backend(rand::random())
@@ -181,7 +181,7 @@
 }
 
 /// How long a request is held by a router that reads the store for the first time.
-fn first_hold(call: &Call) -> Duration {
+fn first_hold(call: &RequestHeaders) -> Duration {
     (call.deadline.unwrap_or(LONGEST) / FIRST_READ).min(FIRST_HOLD)
 }
 
@@ -195,7 +195,7 @@
 /// Finds the route of a request, and lets it in by its key.
 async fn enter(
     shared: &Shared,
-    call: &Call,
+    call: &RequestHeaders,
     parts: &request::Parts,
     times: &Times,
 ) -> Result<Entry, Failure> {
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -6,8 +6,8 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use platform::{Follower, News, Store, StoreError, Topic};
-use quota::{Record, Write};
+use platform::{Follower, Store, StoreError, Topic, Update};
+use quota::{RosterWrite, RouterRecord};
 use tokio::time::Instant;
 
 use crate::shared::Shared;
@@ -71,8 +71,8 @@
 async fn read(shared: &Shared, follower: &mut Follower, wait: Duration) -> Result<(), StoreError> {
     let sent = Moment::now();
     let batch = follower.next(wait).await?;
-    let news = batch.news.into_iter().filter_map(decode).collect();
-    shared.quotas.read(news, batch.whole, sent);
+    let news = batch.updates.into_iter().filter_map(decode).collect();
+    shared.quotas.read(news, batch.complete, sent);
     Ok(())
 }
 
@@ -80,8 +80,10 @@
 async fn write(shared: &Shared, store: &Store) -> Result<(), StoreError> {
     while let Some(write) = shared.quotas.next_write() {
         let (addr, value) = match &write {
-            Write::Put(addr, record) => (addr, serde_json::to_vec(record).unwrap_or_default()),
-            Write::Drop(addr) => (addr, Vec::new()),
+            RosterWrite::Put(addr, record) => {
+                (addr, serde_json::to_vec(record).unwrap_or_default())
+            }
+            RosterWrite::Delete(addr) => (addr, Vec::new()),
         };
         store.put(Topic::Routers, &addr.to_string(), &value, None).await?;
         shared.quotas.wrote(&write);
@@ -90,8 +92,8 @@
 }
 
 /// Reads one record; none stands for one that was dropped.
-fn decode(news: News) -> Option<(std::net::SocketAddr, Option<Record>)> {
-    let News::Own(key, value) = news else { return None };
+fn decode(news: Update) -> Option<(std::net::SocketAddr, Option<RouterRecord>)> {
+    let Update::Record(key, value) = news else { return None };
     let bad = |cause: String| {
         let cause = format!("the record `{key}` can't be read: {cause}");
         emit(&Event::Unreadable { dependency: Dependency::Roster, cause: &cause });
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -227,10 +227,10 @@
         endpoint: std::net::SocketAddr,
         limit: Duration,
     ) -> Result<(), String> {
-        let report = platform::read_report(&self.client, endpoint, limit).await;
+        let report = platform::fetch_report(&self.client, endpoint, limit).await;
         let report = report.map_err(|error| error.to_string())?;
-        let same = |peer: &Peer| peer.endpoint.addr == endpoint && peer.lives(report.life);
-        self.known.noticed(id, report.life, report.notice, same);
+        let same = |peer: &Peer| peer.endpoint.addr == endpoint && peer.lives(report.incarnation);
+        self.known.noticed(id, report.incarnation, report.hints, same);
         Ok(())
     }
 
