--- a/components/loader/src/steward/orders.rs
+++ b/components/loader/src/steward/orders.rs
@@ -4,7 +4,7 @@
 use control::Verdict;
 use events::{Event, Given, emit, millis};
 use fleet::Tier;
-use platform::{Fence, Operation, Order, OrderOutcome, send_order};
+use platform::{Fence, Operation, Order, OrderReply, send_order};
 use tokio::time::Instant;
 use units::{EndpointId, FencingToken};
 
@@ -30,12 +30,12 @@
             outcome
         });
         let given = match &outcome {
-            Ok(OrderOutcome::Accepted) => Given::Accepted,
-            Ok(OrderOutcome::AlreadyDone) => Given::Done,
-            Ok(OrderOutcome::Busy) => Given::Busy,
-            Ok(OrderOutcome::Fenced) => Given::Fenced,
-            Ok(OrderOutcome::OtherInstance(_)) => Given::Other,
-            Ok(OrderOutcome::Refused(_)) => Given::Refused,
+            Ok(OrderReply::Accepted) => Given::Accepted,
+            Ok(OrderReply::AlreadyDone) => Given::Done,
+            Ok(OrderReply::Busy) => Given::Busy,
+            Ok(OrderReply::Fenced) => Given::Fenced,
+            Ok(OrderReply::OtherInstance(_)) => Given::Other,
+            Ok(OrderReply::Refused(_)) => Given::Refused,
             Err(_) => Given::Unknown,
         };
         emit(&Event::Order {
@@ -46,25 +46,25 @@
             outcome: given,
         });
         match outcome {
-            Ok(OrderOutcome::Accepted | OrderOutcome::AlreadyDone) => {}
-            Ok(OrderOutcome::Fenced) => {
+            Ok(OrderReply::Accepted | OrderReply::AlreadyDone) => {}
+            Ok(OrderReply::Fenced) => {
                 self.pending = None;
                 self.pause = Some(Instant::now() + RETRY);
                 self.token.fenced.notify_one();
             }
-            Ok(OrderOutcome::OtherInstance(id)) => {
+            Ok(OrderReply::OtherInstance(id)) => {
                 self.pending = None;
                 self.denied = Some(endpoint);
                 self.endpoint = id;
                 self.leaving = false;
                 self.ledger.report = None;
             }
-            Ok(OrderOutcome::Refused(_)) => {
+            Ok(OrderReply::Refused(_)) => {
                 self.pending = None;
                 self.answer(&target, Verdict::Refused(CALM));
             }
             // The report tells whether it was carried out; an order that comes late finds another sequence.
-            Ok(OrderOutcome::Busy) | Err(_) => {
+            Ok(OrderReply::Busy) | Err(_) => {
                 self.pending = None;
                 self.pause = Some(Instant::now() + RETRY);
             }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/ledger.rs
@@ -36,7 +36,7 @@
 
 /// Reads what other routers have written, for as long as the process runs.
 pub(crate) async fn read(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store.clone(), Topic::EndedEndpoints);
+    let mut follower = Follower::new(store.clone(), Topic::CrashRecords);
     let mut away: Option<Instant> = None;
     loop {
         let begun = Instant::now();
@@ -91,7 +91,7 @@
     tokio::spawn(async move {
         tokio::time::sleep(AGAIN.mul_f64(rand::random())).await;
         let all =
-            Follower::new(shared.store.clone(), Topic::EndedEndpoints).next(Duration::ZERO).await;
+            Follower::new(shared.store.clone(), Topic::CrashRecords).next(Duration::ZERO).await;
         let written: Vec<Update> = all.map(|batch| batch.updates).unwrap_or_default();
         let there = |key: &String| {
             written.iter().any(|news| matches!(news, Update::Record(other, _) if other == key))
@@ -128,7 +128,7 @@
 /// Drops some records that are too old to count, so that they don't pile up. All routers may drop the same ones, which does no harm.
 async fn drop_stale(store: &Store, stale: Vec<String>) {
     for key in stale.into_iter().take(DROPPED) {
-        if let Err(error) = store.put(Topic::EndedEndpoints, &key, &[], None).await {
+        if let Err(error) = store.put(Topic::CrashRecords, &key, &[], None).await {
             log::debug!("router: an old record of an ended endpoint stays for now: {error}");
             return;
         }
@@ -151,7 +151,7 @@
 ) {
     while let Some(kept) = records.recv().await {
         let value = serde_json::to_vec(&kept.note).unwrap_or_default();
-        while let Err(error) = store.put(Topic::EndedEndpoints, &kept.key, &value, None).await {
+        while let Err(error) = store.put(Topic::CrashRecords, &kept.key, &value, None).await {
             if error.is_permanent() || Table::stale(&kept.note, stamp()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
@@ -229,7 +229,7 @@
     let note = Note::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
-    match shared.store.put(Topic::EndedEndpoints, &key, &value, Some(read?)).await {
+    match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
         Ok(PutOutcome::Written) => {}
         Ok(PutOutcome::Conflict) => return None,
         Err(error) => {
