--- a/components/access/src/decision.rs
+++ b/components/access/src/decision.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request by the key that it shows.
+//! Decides whether a request is admitted, by the key that it presents.
 
 use std::time::Duration;
 
@@ -7,69 +7,69 @@
 
 use crate::Freshness;
 
-/// What a request shows of its caller.
+/// What a request presents as its caller's identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// The request has no `Authorization` header.
     Absent,
-    /// A key.
+    /// The digest of the presented key.
     Key(KeyDigest),
-    /// Something that is no key: two of them, another scheme, too long.
+    /// The `Authorization` header is not a key: there are two of them, the scheme is another one, or the key is too long.
     Malformed,
 }
 
-/// Why a request is not let in, for good.
+/// Why a request is permanently refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denial {
-    /// It shows no key and its route needs one.
+    /// The request presents no key and its route requires one.
     Missing,
-    /// What it shows is no key.
+    /// The presented credential is not a key.
     Malformed,
-    /// The key was taken away.
+    /// The key was revoked.
     Revoked,
     /// No workspace has this key.
     Unknown,
 }
 
-/// What is known when a request is judged.
+/// The input of an access decision.
 #[derive(Debug, Clone, Copy)]
 pub struct AccessCheck<'a> {
-    /// What the request shows.
+    /// What the request presents.
     pub credential: Credential,
-    /// Whether its route needs no key.
+    /// Whether the route accepts requests without a key.
     pub anonymous_allowed: bool,
-    /// The workspaces, if there are any at all.
+    /// The known workspaces; `None` if the configuration has no workspaces at all.
     pub workspaces: Option<&'a Workspaces>,
-    /// Whether the key was in a version before this one.
+    /// Whether an earlier version of the workspaces contained the key.
     pub revoked: bool,
-    /// From when they are.
+    /// How recent the known workspaces are.
     pub freshness: Freshness,
-    /// The longest that a key may be served after it was taken away; none if there is no such bound.
+    /// The longest time for which a key may be served after it was revoked; `None` if that is not limited.
     pub revocation_bound: Option<Duration>,
-    /// When the request came.
+    /// When the request arrived.
     pub arrived: Moment,
-    /// Now.
+    /// The current time.
     pub now: Moment,
 }
 
-/// What becomes of a request.
+/// The result of an access check.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AccessDecision<'a> {
-    /// There are no workspaces: it is passed on as it is.
+    /// There are no workspaces: the request is forwarded without a check.
     Unmanaged,
-    /// It is let in and belongs to no workspace.
+    /// The request is admitted and belongs to no workspace.
     Anonymous,
-    /// It belongs to this workspace.
+    /// The request is admitted and belongs to this workspace.
     Member(&'a Workspace),
-    /// It is not let in.
+    /// The request is refused.
     Denied(Denial),
-    /// It is not known any more whether its key holds.
+    /// The known workspaces are too old to tell whether the key is still valid.
     Stale,
-    /// The key may be newer than what is known: the store is asked first.
+    /// The key may be newer than the known workspaces: the store has to be read first.
     NeedsRead,
 }
 
-/// Judges a request.
+/// Decides whether a request is admitted.
 pub fn decide_access<'a>(check: &AccessCheck<'a>) -> AccessDecision<'a> {
     let Some(workspaces) = check.workspaces else { return AccessDecision::Unmanaged };
     let key = match check.credential {
--- a/components/access/src/freshness.rs
+++ b/components/access/src/freshness.rs
@@ -1,39 +1,41 @@
-//! How old what is known of keys may be.
+//! How old the known workspaces and keys may be.
 
 use std::time::Duration;
 
 use clock::Moment;
 
-/// The part of the bound for which a proof is good: what is let in right before its end is still on its way.
+/// The fraction of the revocation bound during which a read counts as fresh. The rest covers requests that are admitted right
+/// before the end and are still on their way to an endpoint.
 const USABLE_FRACTION: f64 = 0.95;
 
-/// From when what is known is the newest there was. Ages of reads are compared nowhere else.
+/// The latest moment at which the known workspaces were certainly the newest version in the store. Only this type compares the
+/// ages of reads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness(Option<Moment>);
 
 impl Freshness {
-    /// Takes that a read which was sent then brought the newest there is. A read that waits for news may have been answered
-    /// long after the store looked, so that only its sending counts; nor does an answer that could not be read.
+    /// Records that a read sent at `sent` returned the newest version. Only the moment of sending counts: the store may look up
+    /// its data long before it answers a read that waits for changes. Answers that could not be decoded must not be recorded.
     pub fn record_read(&mut self, sent: Moment) {
         self.0 = self.0.max(Some(sent));
     }
 
-    /// Takes the word of another router whose proof was so old when it answered a question that was sent then.
+    /// Records the answer of another router to a question sent at `sent`: its own newest read was `age` old at that time.
     pub fn record_peer_read(&mut self, sent: Moment, age: Duration) {
         self.record_read(sent.before(age));
     }
 
-    /// How old it is, if there is any.
+    /// The age of the newest read, if there was one.
     pub fn age(self, now: Moment) -> Option<Duration> {
         self.0.map(|at| now.since(at))
     }
 
-    /// Whether keys may be served by it that must not be served longer than `bound` after they were taken away.
+    /// Whether keys may be served that must not be served for longer than `bound` after they were revoked.
     pub fn is_fresh(self, now: Moment, bound: Duration) -> bool {
         self.age(now).is_some_and(|age| age <= bound.mul_f64(USABLE_FRACTION))
     }
 
-    /// Whether it tells of all that was there at a moment.
+    /// Whether the newest read includes everything that the store held at `moment`.
     pub fn covers(self, moment: Moment) -> bool {
         self.0.is_some_and(|at| at >= moment)
     }
--- a/components/access/src/lib.rs
+++ b/components/access/src/lib.rs
@@ -1,7 +1,8 @@
-//! Whose request it is, and whether its key is still served: values in, verdict out.
+//! Decides which workspace a request belongs to and whether its key may still be served. Performs no input or output.
 //!
-//! A key that was taken away must not be served longer than a bound, also by a router that nobody reaches. So a key is served
-//! only while the read that showed it is young enough, counted from the moment at which that read was sent.
+//! A revoked key must not be served for longer than a configured bound, even by a router that is cut off from everything else.
+//! A key is therefore served only while the newest read of the store that confirmed the workspaces is recent enough, counted from
+//! the moment at which that read was sent.
 
 mod decision;
 mod freshness;
