--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -107,7 +107,7 @@
             return;
         }
         let same = |peer: &TrackedEndpoint| Arc::ptr_eq(&peer.pool, &self.pool);
-        let notice = platform::read_notice(status, headers);
+        let notice = platform::read_endpoint_hints(status, headers);
         self.shared.known.apply_hints(&self.id, self.life, notice, same);
     }
 
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -227,12 +227,12 @@
         endpoint: std::net::SocketAddr,
         limit: Duration,
     ) -> Result<(), String> {
-        let report = platform::read_report(&self.client, endpoint, limit).await;
+        let report = platform::fetch_report(&self.client, endpoint, limit).await;
         let report = report.map_err(|error| error.to_string())?;
         let same = |peer: &TrackedEndpoint| {
-            peer.endpoint.addr == endpoint && peer.same_incarnation(report.life)
+            peer.endpoint.addr == endpoint && peer.same_incarnation(report.incarnation)
         };
-        self.known.apply_hints(id, report.life, report.notice, same);
+        self.known.apply_hints(id, report.incarnation, report.hints, same);
         Ok(())
     }
 
