--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/steward/publish.rs
@@ -1,6 +1,6 @@
 //! What a loader tells the routers.
 
-use control::Load;
+use control::EndpointLoad;
 use events::{Event, emit};
 use fleet::{Holdings, Loading, Tier};
 use platform::Operation;
@@ -18,7 +18,7 @@
         let loading = pending.filter(|p| p.work == Operation::Load).map(|p| Loading {
             model: p.target.model.clone(),
             cold: p.tier == Tier::Store,
-            left: (p.since + p.expect).saturating_duration_since(now),
+            remaining: (p.since + p.expect).saturating_duration_since(now),
         });
         let leaving =
             pending.filter(|p| p.work == Operation::Unload).map(|p| p.target.model.clone());
@@ -28,7 +28,7 @@
             models: report.map(|report| report.models.clone()).unwrap_or_default(),
             copies: report.map(|report| report.copies.clone()).unwrap_or_default(),
             loading,
-            leaving: leaving.into_iter().collect(),
+            evicting: leaving.into_iter().collect(),
         };
         let urgent = self.ledger.wants.values().filter(|want| want.waiting() > 0).count();
         let waiting = u32::try_from(urgent).unwrap_or(u32::MAX);
@@ -39,28 +39,28 @@
             && self.ledger.engine.is_some();
         self.state.send_if_modified(|state| {
             let same = state.holdings.models == holdings.models
-                && state.holdings.leaving == holdings.leaving
+                && state.holdings.evicting == holdings.evicting
                 && state.holdings.copies == holdings.copies
                 && state.holdings.loading.as_ref().map(|l| &l.model)
                     == holdings.loading.as_ref().map(|l| &l.model)
-                && state.able == able
+                && state.can_order == able
                 && state.draining == draining
-                && state.room == room
-                && state.engine == self.engine
+                && state.room_wait == room
+                && state.engine_version == self.engine
                 && state.endpoint == self.endpoint
-                && state.life == self.life;
-            state.load = Load { waiting, running, routers: self.ledger.heard() };
+                && state.incarnation == self.life;
+            state.load = EndpointLoad { waiting, running, routers: self.ledger.heard() };
             if same {
                 return false;
             }
             state.version += 1;
             state.holdings = holdings;
-            state.able = able;
+            state.can_order = able;
             state.draining = draining;
-            state.room = room;
-            state.engine = self.engine;
+            state.room_wait = room;
+            state.engine_version = self.engine;
             state.endpoint = self.endpoint.clone();
-            state.life = self.life;
+            state.incarnation = self.life;
             emit(&Event::Holds {
                 endpoint: state.endpoint.as_ref().map_or("", |id| id.as_str()),
                 models: state.holdings.models.len(),
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -238,7 +238,7 @@
         return Found::Wake(asks);
     }
     // No loader can be asked just now.
-    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.cold);
+    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.store_load);
     Found::Later(if copied { Duration::ZERO } else { cold })
 }
 
@@ -270,7 +270,7 @@
 ) -> Option<Duration> {
     let model = &wanted.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
-    let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
+    let left = loads.filter(|load| load.model == *model).map(|load| load.remaining).min()?;
     (served.first_event > wanted.target && left < served.first_event / 2).then_some(left)
 }
 
--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -12,10 +12,10 @@
 
 use events::{Event, emit, millis};
 use platform::Health;
-use quarantine::{Death, Digest, Note};
+use quarantine::{Crash, Digest, QuarantineRecord};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use units::{EndpointId, Life};
+use units::{EndpointId, EndpointIncarnation};
 
 use crate::guard::wall_clock;
 use crate::pool::ConnectionPool;
@@ -63,7 +63,7 @@
 pub(crate) fn start(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
 ) {
     if !pool.sent_requests().begin_examination() {
@@ -76,7 +76,7 @@
 async fn follow(
     shared: Arc<Shared>,
     id: EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: Arc<ConnectionPool>,
 ) {
     let since = Instant::now();
@@ -99,19 +99,19 @@
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
-        life: life.unwrap_or_default().0,
+        incarnation: life.unwrap_or_default().0,
         ended,
         cause,
         requests: runs.len(),
         after_ms: millis(since.elapsed()),
     });
-    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Death {
+    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Crash {
         endpoint: id,
-        life,
+        incarnation: life,
         domain,
-        among,
+        domain_endpoints: among,
         at,
-        runs,
+        requests: runs,
     });
     if ended {
         return shared.guard.finish_examination(&pool, death);
@@ -125,12 +125,12 @@
 
 /// Waits for the list to tell that an endpoint which answers has started again under its id: one without models does not say in which
 /// life it is. What it had is sent on meanwhile.
-async fn watch(shared: &Arc<Shared>, death: Death, pool: &Arc<ConnectionPool>, until: Instant) {
+async fn watch(shared: &Arc<Shared>, death: Crash, pool: &Arc<ConnectionPool>, until: Instant) {
     while Instant::now() < until {
         tokio::time::sleep(LONGEST).await;
         match known(shared, &death.endpoint, pool) {
             None => {}
-            Some(Found::Ended(_)) => return shared.guard.record(Note::Death(death)),
+            Some(Found::Ended(_)) => return shared.guard.record(QuarantineRecord::Crash(death)),
             Some(Found::Spared(_)) => return,
         }
     }
@@ -139,7 +139,7 @@
 async fn find(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
     until: Instant,
 ) -> Found {
@@ -186,7 +186,12 @@
 }
 
 /// Asks at its address.
-async fn ask(shared: &Shared, id: &EndpointId, life: Option<Life>, addr: SocketAddr) -> Answer {
+async fn ask(
+    shared: &Shared,
+    id: &EndpointId,
+    life: Option<EndpointIncarnation>,
+    addr: SocketAddr,
+) -> Answer {
     match tokio::time::timeout(PATIENCE, TcpStream::connect(addr)).await {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Answer::Refused,
         Ok(Err(_)) | Err(_) => return Answer::None,
@@ -196,7 +201,7 @@
         shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
     if askable {
         return match platform::fetch_report(&shared.client, addr, PATIENCE).await {
-            Ok(report) if Life::differ(report.incarnation, life) => Answer::Other,
+            Ok(report) if EndpointIncarnation::differ(report.incarnation, life) => Answer::Other,
             Ok(_) => Answer::Same,
             Err(error) => {
                 log::debug!("router: {id} did not tell whether it is there: {error}");
--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control::{Kept, LetGo};
+use control::{KeyedRecord, ReleaseRequest};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
 use platform::{Follower, PutOutcome, Store, StoreError, Topic, Update};
-use quarantine::{Digest, Note, Stamp, Table, Trial};
+use quarantine::{CrashTable, Digest, QuarantineRecord, Trial, UnixMillis};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use units::StorePosition;
@@ -48,7 +48,7 @@
         };
         match next {
             Ok(batch) => {
-                events::reached(Dependency::Ends);
+                events::record_reached(Dependency::Ends);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
@@ -82,7 +82,7 @@
             |news| matches!(news, Update::Record(other, value) if other == key && !value.is_empty())
         )
     };
-    let missing: Vec<Kept> =
+    let missing: Vec<KeyedRecord> =
         shared.guard.recent().into_iter().filter(|kept| !there(&kept.key)).collect();
     if missing.is_empty() {
         return;
@@ -113,8 +113,8 @@
             continue;
         }
         match serde_json::from_slice(&value) {
-            Ok(note) if Table::stale(&note, now) => stale.push(key),
-            Ok(note) => all.push(Kept { key, note }),
+            Ok(note) if CrashTable::is_expired(&note, now) => stale.push(key),
+            Ok(note) => all.push(KeyedRecord { key, record: note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be read: {error}");
                 emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
@@ -147,12 +147,12 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     store: Store,
-    mut records: mpsc::UnboundedReceiver<Kept>,
+    mut records: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(kept) = records.recv().await {
-        let value = serde_json::to_vec(&kept.note).unwrap_or_default();
+        let value = serde_json::to_vec(&kept.record).unwrap_or_default();
         while let Err(error) = store.put(Topic::CrashRecords, &kept.key, &value, None).await {
-            if error.is_permanent() || Table::stale(&kept.note, wall_clock()) {
+            if error.is_permanent() || CrashTable::is_expired(&kept.record, wall_clock()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -170,7 +170,7 @@
     let known = shared.guard.recent();
     let asked = shared.other_routers().into_iter().map(|router| {
         let (client, known) = (shared.client.clone(), known.clone());
-        async move { control::exchange_ends(&client, router, &known, PATIENCE).await }
+        async move { control::exchange_crash_records(&client, router, &known, PATIENCE).await }
     });
     for told in futures_util::future::join_all(asked).await {
         match told {
@@ -190,7 +190,7 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<Vec<Kept>>(&bytes) {
+    match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(told) => {
             for kept in shared.guard.apply(&told) {
                 // The other one may not reach the store.
@@ -210,11 +210,11 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<LetGo>(&bytes) {
-        Ok(LetGo { digest }) if shared.guard.release(&digest) => {
-            web::json(StatusCode::OK, &LetGo { digest })
+    match serde_json::from_slice::<ReleaseRequest>(&bytes) {
+        Ok(ReleaseRequest { digest }) if shared.guard.release(&digest) => {
+            web::json(StatusCode::OK, &ReleaseRequest { digest })
         }
-        Ok(LetGo { digest }) => web::text(
+        Ok(ReleaseRequest { digest }) => web::text(
             StatusCode::NOT_FOUND,
             format!("{digest} is no suspect here; `hyssopctl suspects` lists them\n"),
         ),
@@ -229,8 +229,8 @@
     number: u32,
 ) -> Option<SendPermit> {
     let read: Option<StorePosition> = *shared.crash_records_position.borrow();
-    let at: Stamp = wall_clock();
-    let note = Note::Trial(Trial { digest: *digest, number, at });
+    let at: UnixMillis = wall_clock();
+    let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
     match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
@@ -241,6 +241,6 @@
             return None;
         }
     }
-    shared.guard.apply(&[Kept { key, note }]);
+    shared.guard.apply(&[KeyedRecord { key, record: note }]);
     shared.guard.trial_permit(digest)
 }
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{Load, State};
-use fleet::{Endpoint, Holdings, Stage};
+use control::{EndpointLoad, EndpointState};
+use fleet::{Endpoint, EndpointStage, Holdings};
 use placement::{Candidate, PromptBacklog, RecentFailures};
-use quarantine::Stamp;
+use quarantine::UnixMillis;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use units::{Life, ModelName, StorePosition};
+use units::{EndpointIncarnation, ModelName, StorePosition};
 
 use crate::liveness::LivenessState;
 use crate::pool::ConnectionPool;
@@ -44,7 +44,7 @@
     /// It wants nothing from this router until then.
     pub(crate) until: Option<Instant>,
     /// When it said so last, by this router's time of day.
-    pub(crate) heard: Stamp,
+    pub(crate) heard: UnixMillis,
 }
 
 impl ReceivedHints {
@@ -59,8 +59,8 @@
 
     /// Whether it was said in a life that is known to be another one than the one to which it was put down. Answers don't tell
     /// which life gives them, and an endpoint that has just started again speaks before the list tells of its life.
-    pub(crate) fn from_incarnation(self, life: Option<Life>) -> bool {
-        life.is_some_and(|Life(born)| self.heard.0 > born)
+    pub(crate) fn from_incarnation(self, life: Option<EndpointIncarnation>) -> bool {
+        life.is_some_and(|EndpointIncarnation(born)| self.heard.0 > born)
     }
 }
 
@@ -85,7 +85,7 @@
     /// It, in the newest of its lives that the list or its loader tells of.
     pub(crate) endpoint: Endpoint,
     /// The life that the list last told of.
-    listed_incarnation: Option<Life>,
+    listed_incarnation: Option<EndpointIncarnation>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) listed_at: Instant,
     /// How far the list had been read when it last told of it.
@@ -95,7 +95,7 @@
     /// Set while its entry is missing.
     pub(crate) missing: Option<MissingEntry>,
     pub(crate) hints: ReceivedHints,
-    pub(crate) state: Option<(State, Instant)>,
+    pub(crate) state: Option<(EndpointState, Instant)>,
     /// Requests of this router when its loader last said how many there are of all.
     pub(crate) running_baseline: u32,
     pub(crate) running: u32,
@@ -116,7 +116,7 @@
 impl TrackedEndpoint {
     pub(crate) fn new(endpoint: Endpoint, now: Instant) -> Self {
         let pool = Arc::new(ConnectionPool::new(endpoint.addr));
-        let listed_incarnation = endpoint.life;
+        let listed_incarnation = endpoint.incarnation;
         Self {
             endpoint,
             listed_incarnation,
@@ -143,40 +143,40 @@
     /// Takes what the list says; true if that is about another life, of which nothing was known.
     pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) -> bool {
         self.missing = None;
-        let repeated = endpoint.life == self.listed_incarnation;
-        let other = !self.same_incarnation(endpoint.life);
+        let repeated = endpoint.incarnation == self.listed_incarnation;
+        let other = !self.same_incarnation(endpoint.incarnation);
         if other && repeated {
             // Its loader has told of a later life already.
             return false;
         }
-        self.listed_incarnation = endpoint.life;
+        self.listed_incarnation = endpoint.incarnation;
         self.listed_at = now;
         if other || endpoint.addr != self.endpoint.addr {
             // One that has only moved is as much about to leave as before.
-            let said = if other { self.hints_in(endpoint.life) } else { self.hints };
+            let said = if other { self.hints_in(endpoint.incarnation) } else { self.hints };
             self.restart(endpoint, now);
             self.hints = said;
             return true;
         }
-        let life = endpoint.life.or(self.endpoint.life);
-        self.endpoint = Endpoint { life, ..endpoint };
+        let life = endpoint.incarnation.or(self.endpoint.incarnation);
+        self.endpoint = Endpoint { incarnation: life, ..endpoint };
         false
     }
 
     /// Takes what its loader says; true if that is about a life of which nothing was known.
-    pub(crate) fn apply_state(&mut self, state: State, now: Instant) -> bool {
-        let other = !self.same_incarnation(state.life);
-        if other && state.life < self.endpoint.life {
+    pub(crate) fn apply_state(&mut self, state: EndpointState, now: Instant) -> bool {
+        let other = !self.same_incarnation(state.incarnation);
+        if other && state.incarnation < self.endpoint.incarnation {
             // The loader has not asked its endpoint since it started again.
             return false;
         }
-        let life = state.life.or(self.endpoint.life);
+        let life = state.incarnation.or(self.endpoint.incarnation);
         if other {
             let (said, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
-            self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
+            self.restart(Endpoint { incarnation: life, holdings, ..self.endpoint.clone() }, now);
             self.hints = said;
         }
-        self.endpoint.life = life;
+        self.endpoint.incarnation = life;
         self.hints.leaving |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
@@ -184,7 +184,7 @@
     }
 
     /// Takes that its loader has nothing new to say but how busy it is; false if it has said nothing in this life.
-    pub(crate) fn refresh_load(&mut self, load: Load, now: Instant) -> bool {
+    pub(crate) fn refresh_load(&mut self, load: EndpointLoad, now: Instant) -> bool {
         let Some((state, heard)) = &mut self.state else { return false };
         state.load = load;
         *heard = now;
@@ -193,13 +193,13 @@
     }
 
     /// What it has said in a life that begins to be known.
-    fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
+    fn hints_in(&self, life: Option<EndpointIncarnation>) -> ReceivedHints {
         if self.hints.from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether it is in this life, as far as anybody says.
-    pub(crate) fn same_incarnation(&self, life: Option<Life>) -> bool {
-        !Life::differ(life, self.endpoint.life)
+    pub(crate) fn same_incarnation(&self, life: Option<EndpointIncarnation>) -> bool {
+        !EndpointIncarnation::differ(life, self.endpoint.incarnation)
     }
 
     /// Drops what was known of an earlier life: what it held and ran, connections, pauses, questions.
@@ -225,7 +225,7 @@
 
     /// Whether it takes new work, as far as the list, its loader and it itself say.
     pub(crate) fn accepts_work(&self) -> bool {
-        self.endpoint.stage == Stage::Ready && !self.hints.leaving
+        self.endpoint.stage == EndpointStage::Ready && !self.hints.leaving
     }
 
     /// For how long it wants nothing from this router, if it said so.
@@ -236,8 +236,8 @@
 
     /// The endpoint, as other routers are told of it.
     pub(crate) fn announced_entry(&self) -> Endpoint {
-        let leaves = self.hints.leaving && self.endpoint.stage == Stage::Ready;
-        let stage = if leaves { Stage::Draining(None) } else { self.endpoint.stage };
+        let leaves = self.hints.leaving && self.endpoint.stage == EndpointStage::Ready;
+        let stage = if leaves { EndpointStage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
 
@@ -307,7 +307,7 @@
             total_running: self.total_running(),
             backlog: self.backlog.total(self.routers(), now),
             failures: self.recent_failures.count(now),
-            room_wait: state.map_or(Duration::ZERO, |state| state.room),
+            room_wait: state.map_or(Duration::ZERO, |state| state.room_wait),
             queued_models: state.map_or(0, |state| state.load.waiting),
             can_load: able,
         }
@@ -322,7 +322,7 @@
     pub(crate) fn can_load(&self, now: Instant) -> bool {
         self.state
             .as_ref()
-            .is_some_and(|(state, heard)| state.able && now - *heard < self.state_lifetime())
+            .is_some_and(|(state, heard)| state.can_order && now - *heard < self.state_lifetime())
     }
 }
 
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -7,7 +7,7 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use fleet::Change;
+use fleet::EndpointChange;
 use platform::{Batch, Follower, Store, StoreError, Topic, Update};
 use tokio::time::Instant;
 use units::{Revision, Span};
@@ -55,7 +55,7 @@
     }
 
     fn reached(&mut self) {
-        events::reached(self.dependency);
+        events::record_reached(self.dependency);
         self.pause = RETRY;
         let Some(since) = self.away.take() else { return };
         self.returned = Some(Instant::now());
@@ -241,14 +241,14 @@
     for news in batch.updates {
         match news {
             Update::Endpoint(change) => {
-                if let Change::Seen(endpoint) = &change {
+                if let EndpointChange::Listed(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
             Update::InvalidEndpoint(key, cause) => {
                 // It may stand where an endpoint was.
-                changes.extend(key.parse().map(Change::Gone));
+                changes.extend(key.parse().map(EndpointChange::Removed));
                 if foreign.len() < FOREIGN && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -9,9 +9,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use control::{Kept, Suspect};
+use control::{KeyedRecord, Suspect};
 use events::{Event, emit};
-use quarantine::{Death, Digest, Evidence, Note, Release, Stamp, Standing, Table};
+use quarantine::{
+    Crash, CrashTable, Digest, Evidence, QuarantineRecord, Release, SuspicionLevel, UnixMillis,
+};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
@@ -29,19 +31,19 @@
     clippy::disallowed_methods,
     reason = "records outlive their writers, and what depends on their time bears jumps of seconds"
 )]
-pub(crate) fn wall_clock() -> Stamp {
+pub(crate) fn wall_clock() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Stamp(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    UnixMillis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
 #[derive(Debug, Default)]
 struct State {
-    table: Table,
+    table: CrashTable,
     /// Requests that were at an end of an endpoint and are on their way now.
     turns: HashSet<Digest>,
     /// Lives of endpoints that may have ended.
     examined: Vec<Arc<ConnectionPool>>,
-    recent: VecDeque<Kept>,
+    recent: VecDeque<KeyedRecord>,
     /// When an endpoint ended last, as far as this router has heard.
     heard: Option<Instant>,
 }
@@ -63,7 +65,7 @@
     /// Told when an endpoint may have ended: others may know more.
     pub(crate) possible_crash: Notify,
     /// Records of this router, to be written.
-    write: mpsc::UnboundedSender<Kept>,
+    write: mpsc::UnboundedSender<KeyedRecord>,
     router: String,
 }
 
@@ -113,7 +115,7 @@
 
 impl CrashGuard {
     /// A guard that knows nothing; what it has to write comes out of the other end.
-    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let (write, written) = mpsc::unbounded_channel();
         let (state, changed, possible_crash) = Default::default();
         (Self { state, changed, possible_crash, write, router }, written)
@@ -161,16 +163,16 @@
         if state.pending(digest) {
             return Decision::Wait;
         }
-        match state.table.standing(digest) {
-            Standing::Clear => Decision::Free,
-            Standing::Suspect => {
-                Decision::Rejected(match state.table.trial(digest, wall_clock()) {
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Clear => Decision::Free,
+            SuspicionLevel::Suspect => {
+                Decision::Rejected(match state.table.due_trial(digest, wall_clock()) {
                     Some(number) => Rejection::TrialDue(number),
                     None => Rejection::Suspect,
                 })
             }
-            Standing::Watched(_) if !mine && !state.turns.insert(*digest) => Decision::Wait,
-            Standing::Watched(ends) => Decision::Turn { isolated: ends >= APART },
+            SuspicionLevel::Watched(_) if !mine && !state.turns.insert(*digest) => Decision::Wait,
+            SuspicionLevel::Watched(ends) => Decision::Turn { isolated: ends >= APART },
         }
     }
 
@@ -180,12 +182,14 @@
             return true;
         }
         let state = self.lock();
-        match state.table.standing(digest) {
-            Standing::Suspect => false,
-            Standing::Watched(ends) if pass.turn.is_none() || (ends >= APART) != pass.isolated => {
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Suspect => false,
+            SuspicionLevel::Watched(ends)
+                if pass.turn.is_none() || (ends >= APART) != pass.isolated =>
+            {
                 false
             }
-            Standing::Watched(_) | Standing::Clear => !state.pending(digest),
+            SuspicionLevel::Watched(_) | SuspicionLevel::Clear => !state.pending(digest),
         }
     }
 
@@ -205,9 +209,9 @@
     }
 
     /// Whether it has is known; `death` if so.
-    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Death>) {
+    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Crash>) {
         if let Some(death) = death {
-            self.record(Note::Death(death));
+            self.record(QuarantineRecord::Crash(death));
         }
         self.lock().examined.retain(|other| !Arc::ptr_eq(other, pool));
         self.changed.notify_waiters();
@@ -215,56 +219,56 @@
 
     /// A request ran to its end: what it was at before does not speak against it.
     pub(crate) fn record_completion(&self, digest: &Digest) {
-        let standing = self.lock().table.standing(digest);
+        let standing = self.lock().table.suspicion(digest);
         // What is of no weight yet is worth no record.
         let weighs = match standing {
-            Standing::Clear => return,
-            Standing::Watched(ends) => ends >= APART,
-            Standing::Suspect => true,
+            SuspicionLevel::Clear => return,
+            SuspicionLevel::Watched(ends) => ends >= APART,
+            SuspicionLevel::Suspect => true,
         };
-        let note = Note::Release(Release { digest: *digest, at: wall_clock() });
+        let note = QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() });
         if weighs {
             return self.record(note);
         }
-        self.apply(&[Kept { key: note.key(&self.router), note }]);
+        self.apply(&[KeyedRecord { key: note.key(&self.router), record: note }]);
     }
 
     /// Lets a request go; false if it is no suspect.
     pub(crate) fn release(&self, digest: &Digest) -> bool {
-        let suspect = self.lock().table.standing(digest) == Standing::Suspect;
+        let suspect = self.lock().table.suspicion(digest) == SuspicionLevel::Suspect;
         if suspect {
-            self.record(Note::Release(Release { digest: *digest, at: wall_clock() }));
+            self.record(QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() }));
         }
         suspect
     }
 
     /// Takes a record of this router's own and has it written.
-    pub(crate) fn record(&self, note: Note) {
-        let kept = Kept { key: note.key(&self.router), note };
+    pub(crate) fn record(&self, note: QuarantineRecord) {
+        let kept = KeyedRecord { key: note.key(&self.router), record: note };
         self.apply(std::slice::from_ref(&kept));
         let _ = self.write.send(kept);
     }
 
     /// Has a record written that another router told of.
-    pub(crate) fn queue_write(&self, kept: Kept) {
+    pub(crate) fn queue_write(&self, kept: KeyedRecord) {
         let _ = self.write.send(kept);
     }
 
     /// Takes records, and returns those that say something new.
-    pub(crate) fn apply(&self, all: &[Kept]) -> Vec<Kept> {
+    pub(crate) fn apply(&self, all: &[KeyedRecord]) -> Vec<KeyedRecord> {
         let now = wall_clock();
         let mut state = self.lock();
         let before: HashSet<Digest> = state.table.suspects().map(|(digest, _)| *digest).collect();
         let known: HashSet<&String> = state.recent.iter().map(|kept| &kept.key).collect();
-        let fresh: Vec<Kept> = all
+        let fresh: Vec<KeyedRecord> = all
             .iter()
-            .filter(|kept| !known.contains(&kept.key) && !Table::stale(&kept.note, now))
+            .filter(|kept| !known.contains(&kept.key) && !CrashTable::is_expired(&kept.record, now))
             .cloned()
             .collect();
-        if state.table.take(all.iter().map(|kept| &kept.note), now) == 0 {
+        if state.table.apply(all.iter().map(|kept| &kept.record), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|kept| matches!(kept.note, Note::Death(_))) {
+        if fresh.iter().any(|kept| matches!(kept.record, QuarantineRecord::Crash(_))) {
             state.heard = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
@@ -283,7 +287,7 @@
     }
 
     /// What this router knows of late.
-    pub(crate) fn recent(&self) -> Vec<Kept> {
+    pub(crate) fn recent(&self) -> Vec<KeyedRecord> {
         self.lock().recent.iter().cloned().collect()
     }
 
@@ -302,7 +306,7 @@
         let state = self.lock();
         let suspect = |(digest, ends): (&Digest, &[Evidence])| Suspect {
             digest: *digest,
-            ends: ends.to_vec(),
+            crashes: ends.to_vec(),
         };
         state.table.suspects().map(suspect).collect()
     }
@@ -313,9 +317,9 @@
 }
 
 /// Endpoint, life and age of each end.
-fn list(ends: &[Evidence], now: Stamp) -> String {
+fn list(ends: &[Evidence], now: UnixMillis) -> String {
     let one = |end: &Evidence| {
-        let life = end.life.unwrap_or_default();
+        let life = end.incarnation.unwrap_or_default();
         format!("{} {life} {}ms", end.endpoint, now.since(end.at).as_millis())
     };
     ends.iter().map(one).collect::<Vec<_>>().join(", ")
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use control::{Load, State, Use};
+use control::{EndpointLoad, EndpointState, ModelUse};
 use events::{Event, emit, millis};
 use fleet::Tier;
 use placement::{Demand, ScalingInputs};
 use platform::EndpointHints;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName, ServiceName, StorePosition};
+use units::{EndpointId, EndpointIncarnation, ModelName, ServiceName, StorePosition};
 
 use crate::cold::ColdLoads;
 use crate::endpoint::{ReceivedHints, TrackedEndpoint, Usage};
@@ -57,7 +57,7 @@
     /// How far the list has been read, by this router or one that told it.
     pub(crate) list_position: StorePosition,
     /// What endpoints that are not listed any more said of themselves: an entry may come back that is older than that.
-    past_hints: VecDeque<(EndpointId, Option<Life>, ReceivedHints)>,
+    past_hints: VecDeque<(EndpointId, Option<EndpointIncarnation>, ReceivedHints)>,
 }
 
 /// All endpoints, shared by the tasks of a router.
@@ -74,7 +74,12 @@
     }
 
     /// Takes what a loader says.
-    pub(crate) fn apply_state(&self, id: &EndpointId, state: State, engine: Option<&Engine>) {
+    pub(crate) fn apply_state(
+        &self,
+        id: &EndpointId,
+        state: EndpointState,
+        engine: Option<&Engine>,
+    ) {
         let now = Instant::now();
         let mut peers = self.lock();
         let stayed = peers.map.get(id).is_some_and(TrackedEndpoint::accepts_work);
@@ -94,7 +99,7 @@
 
     /// Takes that a loader has nothing new to say but how busy its endpoint is; false if nothing is known from it that
     /// could be the same.
-    pub(crate) fn refresh_load(&self, id: &EndpointId, load: Load) -> bool {
+    pub(crate) fn refresh_load(&self, id: &EndpointId, load: EndpointLoad) -> bool {
         let mut peers = self.lock();
         let same =
             peers.map.get_mut(id).is_some_and(|peer| peer.refresh_load(load, Instant::now()));
@@ -117,7 +122,12 @@
     }
 
     /// Notes that a call to an endpoint in one of its lives failed.
-    pub(crate) fn record_failure(&self, id: &EndpointId, life: Option<Life>, cause: &str) {
+    pub(crate) fn record_failure(
+        &self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+        cause: &str,
+    ) {
         let mut peers = self.lock();
         if peers.map.get(id).is_some_and(|peer| peer.same_incarnation(life)) {
             peers.pause(id, cause);
@@ -129,7 +139,7 @@
     pub(crate) fn apply_hints(
         &self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         notice: EndpointHints,
         same: impl Fn(&TrackedEndpoint) -> bool,
     ) {
@@ -172,7 +182,7 @@
     }
 
     /// Notes that an endpoint answered in one of its lives.
-    pub(crate) fn record_success(&self, id: &EndpointId, life: Option<Life>) {
+    pub(crate) fn record_success(&self, id: &EndpointId, life: Option<EndpointIncarnation>) {
         let mut peers = self.lock();
         if let Some(peer) = peers.map.get_mut(id).filter(|peer| peer.same_incarnation(life)) {
             peer.consecutive_failures = 0;
@@ -185,7 +195,7 @@
     pub(crate) fn record_missing_model(
         &self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         model: &ModelId,
     ) {
         let mut peers = self.lock();
@@ -294,7 +304,7 @@
     }
 
     /// What is told to a loader: how its models are used.
-    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<Use>> {
+    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<ModelUse>> {
         let peer = self.map.get_mut(id)?;
         let held: Vec<ModelName> = peer.holdings(now).map_or_else(Vec::new, |holdings| {
             holdings.models.iter().map(|held| held.model.clone()).collect()
@@ -304,7 +314,7 @@
             if running > 0 {
                 peer.uses.insert(model.clone(), Usage { begun: 0, running });
             }
-            (begun > 0 || running > 0).then_some(Use { model, begun, running })
+            (begun > 0 || running > 0).then_some(ModelUse { model, begun, running })
         });
         Some(uses.collect())
     }
@@ -341,7 +351,7 @@
     pub(crate) fn remember_hints(
         &mut self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         said: ReceivedHints,
     ) {
         if said == ReceivedHints::default() {
@@ -354,10 +364,15 @@
     }
 
     /// What an endpoint has said in this life, if it was listed before.
-    pub(crate) fn past_hints(&self, id: &EndpointId, life: Option<Life>) -> ReceivedHints {
+    pub(crate) fn past_hints(
+        &self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+    ) -> ReceivedHints {
         let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, said)| {
-            other == id && (!Life::differ(*then, life) || said.from_incarnation(life))
+            other == id
+                && (!EndpointIncarnation::differ(*then, life) || said.from_incarnation(life))
         });
         found.map(|(_, _, said)| *said).unwrap_or_default()
     }
