--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -59,7 +59,7 @@
 
     /// Whether it was said in a life that is known to be another one than the one to which it was put down. Answers don't tell
     /// which life gives them, and an endpoint that has just started again speaks before the list tells of its life.
-    pub(crate) fn from_incarnation(self, life: Option<EndpointIncarnation>) -> bool {
+    pub(crate) fn is_from_incarnation(self, life: Option<EndpointIncarnation>) -> bool {
         life.is_some_and(|EndpointIncarnation(born)| self.heard.0 > born)
     }
 }
@@ -194,7 +194,7 @@
 
     /// What it has said in a life that begins to be known.
     fn hints_in(&self, life: Option<EndpointIncarnation>) -> ReceivedHints {
-        if self.hints.from_incarnation(life) { self.hints } else { ReceivedHints::default() }
+        if self.hints.is_from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether it is in this life, as far as anybody says.
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -372,7 +372,7 @@
         let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, said)| {
             other == id
-                && (!EndpointIncarnation::differ(*then, life) || said.from_incarnation(life))
+                && (!EndpointIncarnation::differ(*then, life) || said.is_from_incarnation(life))
         });
         found.map(|(_, _, said)| *said).unwrap_or_default()
     }
