--- a/components/router/src/ended.rs
+++ b/components/router/src/crash_check.rs
@@ -17,8 +17,8 @@
 use tokio::time::Instant;
 use units::{EndpointId, EndpointIncarnation};
 
-use crate::guard::stamp;
-use crate::pool::Pool;
+use crate::guard::wall_clock;
+use crate::pool::ConnectionPool;
 use crate::shared::Shared;
 
 /// An endpoint that runs answers within a few milliseconds, a busy one within tens.
@@ -60,16 +60,16 @@
 }
 
 /// Finds it out, unless that is going on.
-pub(crate) fn examine(
+pub(crate) fn start(
     shared: &Arc<Shared>,
     id: &EndpointId,
     life: Option<EndpointIncarnation>,
-    pool: &Arc<Pool>,
+    pool: &Arc<ConnectionPool>,
 ) {
-    if !pool.runs().examine() {
+    if !pool.sent_requests().begin_examination() {
         return;
     }
-    shared.guard.examine(pool);
+    shared.guard.begin_examination(pool);
     tokio::spawn(follow(shared.clone(), id.clone(), life, pool.clone()));
 }
 
@@ -77,7 +77,7 @@
     shared: Arc<Shared>,
     id: EndpointId,
     life: Option<EndpointIncarnation>,
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 ) {
     let since = Instant::now();
     let (domain, among) = {
@@ -90,9 +90,9 @@
     };
     // Those that were cut with the first one are known a moment later.
     tokio::task::yield_now().await;
-    let at = stamp();
+    let at = wall_clock();
     let found = find(&shared, &id, life, &pool, since + GIVE_UP).await;
-    let runs: BTreeSet<Digest> = pool.runs().young(since);
+    let runs: BTreeSet<Digest> = pool.sent_requests().crash_candidates(since);
     let (ended, cause) = match found {
         Found::Ended(cause) => (true, cause),
         Found::Spared(cause) => (false, cause),
@@ -114,10 +114,10 @@
         requests: runs,
     });
     if ended {
-        return shared.guard.examined(&pool, death);
+        return shared.guard.finish_examination(&pool, death);
     }
-    pool.runs().acquit();
-    shared.guard.examined(&pool, None);
+    pool.sent_requests().clear_candidates();
+    shared.guard.finish_examination(&pool, None);
     if let Some(death) = death.filter(|_| found == Found::Spared(THERE)) {
         watch(&shared, death, &pool, since + TOLD).await;
     }
@@ -125,12 +125,12 @@
 
 /// Waits for the list to tell that an endpoint which answers has started again under its id: one without models does not say in which
 /// life it is. What it had is sent on meanwhile.
-async fn watch(shared: &Arc<Shared>, death: Crash, pool: &Arc<Pool>, until: Instant) {
+async fn watch(shared: &Arc<Shared>, death: Crash, pool: &Arc<ConnectionPool>, until: Instant) {
     while Instant::now() < until {
         tokio::time::sleep(LONGEST).await;
         match known(shared, &death.endpoint, pool) {
             None => {}
-            Some(Found::Ended(_)) => return shared.guard.tell(QuarantineRecord::Crash(death)),
+            Some(Found::Ended(_)) => return shared.guard.record(QuarantineRecord::Crash(death)),
             Some(Found::Spared(_)) => return,
         }
     }
@@ -140,7 +140,7 @@
     shared: &Arc<Shared>,
     id: &EndpointId,
     life: Option<EndpointIncarnation>,
-    pool: &Arc<Pool>,
+    pool: &Arc<ConnectionPool>,
     until: Instant,
 ) -> Found {
     let mut refused = 0;
@@ -167,11 +167,11 @@
 }
 
 /// What the list and the endpoint's loader say.
-fn known(shared: &Shared, id: &EndpointId, pool: &Arc<Pool>) -> Option<Found> {
+fn known(shared: &Shared, id: &EndpointId, pool: &Arc<ConnectionPool>) -> Option<Found> {
     let peers = shared.known.lock();
     match peers.map.get(id) {
         Some(peer) if Arc::ptr_eq(&peer.pool, pool) => {
-            (!peer.stays()).then_some(Found::Spared("it was about to leave"))
+            (!peer.accepts_work()).then_some(Found::Spared("it was about to leave"))
         }
         Some(_) => Some(Found::Ended("it has started again")),
         None => {
@@ -200,8 +200,8 @@
     let askable =
         shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
     if askable {
-        return match platform::read_report(&shared.client, addr, PATIENCE).await {
-            Ok(report) if EndpointIncarnation::differ(report.life, life) => Answer::Other,
+        return match platform::fetch_report(&shared.client, addr, PATIENCE).await {
+            Ok(report) if EndpointIncarnation::differ(report.incarnation, life) => Answer::Other,
             Ok(_) => Answer::Same,
             Err(error) => {
                 log::debug!("router: {id} did not tell whether it is there: {error}");
@@ -209,10 +209,10 @@
             }
         };
     }
-    match shared.health(id, PATIENCE).await {
-        Some(Health::Other) => Answer::Other,
+    match shared.check_health(id, PATIENCE).await {
+        Some(Health::OtherInstance) => Answer::Other,
         // It may have started again under its id; the list tells then.
-        Some(Health::Well | Health::Full | Health::Unfit) => Answer::Same,
+        Some(Health::Healthy | Health::Overloaded | Health::Unhealthy) => Answer::Same,
         None => Answer::None,
     }
 }
--- a/components/router/src/ledger.rs
+++ b/components/router/src/crash_records.rs
@@ -6,14 +6,14 @@
 use control::{KeyedRecord, ReleaseRequest};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
-use platform::{Follower, News, Put, Store, StoreError, Topic};
+use platform::{Follower, PutOutcome, Store, StoreError, Topic, Update};
 use quarantine::{CrashTable, Digest, QuarantineRecord, Trial, UnixMillis};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use units::StorePosition;
 use web::Body;
 
-use crate::guard::{Pass, stamp};
+use crate::guard::{SendPermit, wall_clock};
 use crate::shared::Shared;
 
 /// How long a read waits for a record while no endpoint has ended of late: each call is paid for.
@@ -36,15 +36,15 @@
 
 /// Reads what other routers have written, for as long as the process runs.
 pub(crate) async fn read(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store.clone(), Topic::Ends);
+    let mut follower = Follower::new(store.clone(), Topic::CrashRecords);
     let mut away: Option<Instant> = None;
     loop {
         let begun = Instant::now();
-        let wait = if shared.guard.alert() { ALERT } else { CALM };
+        let wait = if shared.guard.recent_crash() { ALERT } else { CALM };
         let next = tokio::select! {
             next = follower.next(if away.is_some() { Duration::ZERO } else { wait }) => next,
             // An endpoint may have ended: what others know of it may be waiting behind a silent connection.
-            () = shared.guard.alarm.notified(), if wait == CALM => continue,
+            () = shared.guard.possible_crash.notified(), if wait == CALM => continue
         };
         match next {
             Ok(batch) => {
@@ -53,12 +53,12 @@
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.read));
-                let empty = batch.news.is_empty() && !batch.whole;
+                shared.crash_records_position.send_replace(Some(batch.position));
+                let empty = batch.updates.is_empty() && !batch.complete;
                 if batch.restored {
-                    write_again(&shared, &batch.news);
+                    write_again(&shared, &batch.updates);
                 }
-                let stale = take(&shared, batch.news);
+                let stale = take(&shared, batch.updates);
                 drop_stale(&store, stale).await;
                 if empty && begun.elapsed() < LEAST {
                     tokio::time::sleep(LEAST).await;
@@ -66,7 +66,7 @@
             }
             Err(error) => {
                 lost(&mut away, &error);
-                shared.ends_read.send_replace(None);
+                shared.crash_records_position.send_replace(None);
                 exchange(&shared).await;
                 tokio::time::sleep(RETRY).await;
             }
@@ -76,10 +76,10 @@
 
 /// Writes again what the copy of the store does not have that it came back from. Whoever knows of a record may, since the router
 /// that wrote it may be gone; all wait for different times, so that most find that another one has.
-fn write_again(shared: &Arc<Shared>, news: &[News]) {
+fn write_again(shared: &Arc<Shared>, news: &[Update]) {
     let there = |key: &String| {
         news.iter().any(
-            |news| matches!(news, News::Own(other, value) if other == key && !value.is_empty()),
+            |news| matches!(news, Update::Record(other, value) if other == key && !value.is_empty())
         )
     };
     let missing: Vec<KeyedRecord> =
@@ -90,23 +90,24 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         tokio::time::sleep(AGAIN.mul_f64(rand::random())).await;
-        let all = Follower::new(shared.store.clone(), Topic::Ends).next(Duration::ZERO).await;
-        let written: Vec<News> = all.map(|batch| batch.news).unwrap_or_default();
+        let all =
+            Follower::new(shared.store.clone(), Topic::CrashRecords).next(Duration::ZERO).await;
+        let written: Vec<Update> = all.map(|batch| batch.updates).unwrap_or_default();
         let there = |key: &String| {
-            written.iter().any(|news| matches!(news, News::Own(other, _) if other == key))
+            written.iter().any(|news| matches!(news, Update::Record(other, _) if other == key))
         };
         for kept in missing.into_iter().filter(|kept| !there(&kept.key)) {
-            shared.guard.write(kept);
+            shared.guard.queue_write(kept);
         }
     });
 }
 
 /// Takes records; returns the keys of those that are too old to count.
-fn take(shared: &Shared, news: Vec<News>) -> Vec<String> {
+fn take(shared: &Shared, news: Vec<Update>) -> Vec<String> {
     let (mut all, mut stale) = (Vec::new(), Vec::new());
-    let now = stamp();
+    let now = wall_clock();
     for news in news {
-        let News::Own(key, value) = news else { continue };
+        let Update::Record(key, value) = news else { continue };
         // One that was dropped is too old to count.
         if value.is_empty() {
             continue;
@@ -120,14 +121,14 @@
             }
         }
     }
-    shared.guard.take(&all);
+    shared.guard.apply(&all);
     stale
 }
 
 /// Drops some records that are too old to count, so that they don't pile up. All routers may drop the same ones, which does no harm.
 async fn drop_stale(store: &Store, stale: Vec<String>) {
     for key in stale.into_iter().take(DROPPED) {
-        if let Err(error) = store.put(Topic::Ends, &key, &[], None).await {
+        if let Err(error) = store.put(Topic::CrashRecords, &key, &[], None).await {
             log::debug!("router: an old record of an ended endpoint stays for now: {error}");
             return;
         }
@@ -150,8 +151,8 @@
 ) {
     while let Some(kept) = records.recv().await {
         let value = serde_json::to_vec(&kept.record).unwrap_or_default();
-        while let Err(error) = store.put(Topic::Ends, &kept.key, &value, None).await {
-            if error.is_final() || CrashTable::is_expired(&kept.record, stamp()) {
+        while let Err(error) = store.put(Topic::CrashRecords, &kept.key, &value, None).await {
+            if error.is_permanent() || CrashTable::is_expired(&kept.record, wall_clock()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -173,7 +174,7 @@
     });
     for told in futures_util::future::join_all(asked).await {
         match told {
-            Ok(told) => drop(shared.guard.take(&told)),
+            Ok(told) => drop(shared.guard.apply(&told)),
             Err(error) => {
                 log::debug!("router: another one told nothing of ended endpoints: {error}")
             }
@@ -191,9 +192,9 @@
     };
     match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(told) => {
-            for kept in shared.guard.take(&told) {
+            for kept in shared.guard.apply(&told) {
                 // The other one may not reach the store.
-                shared.guard.write(kept);
+                shared.guard.queue_write(kept);
             }
             web::json(StatusCode::OK, &shared.guard.recent())
         }
@@ -222,20 +223,24 @@
 }
 
 /// Agrees with all routers that this one tries a suspect now: only one can write right behind what it has read.
-pub(crate) async fn claim(shared: &Arc<Shared>, digest: &Digest, number: u32) -> Option<Pass> {
-    let read: Option<StorePosition> = *shared.ends_read.borrow();
-    let at: UnixMillis = stamp();
+pub(crate) async fn claim_trial(
+    shared: &Arc<Shared>,
+    digest: &Digest,
+    number: u32,
+) -> Option<SendPermit> {
+    let read: Option<StorePosition> = *shared.crash_records_position.borrow();
+    let at: UnixMillis = wall_clock();
     let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
-    match shared.store.put(Topic::Ends, &key, &value, Some(read?)).await {
-        Ok(Put::Written) => {}
-        Ok(Put::Moved) => return None,
+    match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
+        Ok(PutOutcome::Written) => {}
+        Ok(PutOutcome::Conflict) => return None,
         Err(error) => {
             log::debug!("router: a suspect is not tried, since the store can't be asked: {error}");
             return None;
         }
     }
-    shared.guard.take(&[KeyedRecord { key, record: note }]);
-    shared.guard.try_once(digest)
+    shared.guard.apply(&[KeyedRecord { key, record: note }]);
+    shared.guard.trial_permit(digest)
 }
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -8,14 +8,14 @@
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
 use fleet::EndpointChange;
-use platform::{Batch, Follower, News, Store, StoreError, Topic};
+use platform::{Batch, Follower, Store, StoreError, Topic, Update};
 use tokio::time::Instant;
 use units::{Revision, Span};
 
-use crate::access::ASK_PACE;
-use crate::list::{LAPSE, Listed};
+use crate::access::MIN_READ_INTERVAL;
+use crate::list::{LAPSED_ENTRY_GRACE, ListUpdate};
 use crate::shared::{Feed, Shared};
-use crate::{missing, peer};
+use crate::{loader_task, missing};
 
 /// The part of a bound that a read of the store waits for a change, pauses between reads included. A read is answered
 /// as soon as there is a change, but not always: one that begins while a record is written may be answered only when
@@ -84,7 +84,7 @@
 /// client's patience, and the next one still has to bring the news within `bound`.
 fn longest(shared: &Shared, bound: Span) -> Duration {
     let longest = if shared.away_since().is_some() { LONGEST_FIRST } else { LONGEST };
-    longest.min(wait(bound, platform::PATIENCE))
+    longest.min(wait(bound, platform::STORE_TIMEOUT))
 }
 
 /// The part of `bound` that a read may wait, if reads begin `pace` apart.
@@ -93,7 +93,7 @@
 }
 
 /// Follows the configuration for as long as the process runs.
-pub(crate) async fn config(shared: Arc<Shared>, store: Store) {
+pub(crate) async fn follow_config(shared: Arc<Shared>, store: Store) {
     let mut follower = Follower::new(store, Topic::Config);
     let mut contact = Contact::new(Dependency::Configuration);
     let mut newest = None;
@@ -110,7 +110,7 @@
             }
         };
         if std::mem::take(&mut asked) {
-            ask_next = Instant::now() + ASK_PACE;
+            ask_next = Instant::now() + MIN_READ_INTERVAL;
         }
         let bounds = shared.settings.borrow().bounds;
         match next {
@@ -119,13 +119,13 @@
                 let fresh = take_config(&shared, batch, &mut newest);
                 // A store that has less than what is in force, or nothing that can be read, proves nothing.
                 if newest.is_some() && newest == shared.current().map(|current| current.version) {
-                    shared.access.prove(sent);
+                    shared.access.record_read(sent);
                 }
-                shared.read_store(Feed::Configuration, true);
+                shared.record_store_read(Feed::Configuration, true);
                 tokio::time::sleep(if fresh { CONFIG_PACE } else { Duration::ZERO }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Configuration, false);
+                shared.record_store_read(Feed::Configuration, false);
                 contact.failed(&error, longest(&shared, bounds.apply)).await;
             }
         }
@@ -149,27 +149,27 @@
 /// Waits for a request whose key may be newer than what has been read, from a moment on.
 async fn key_asked(shared: &Shared, from: Instant) {
     tokio::time::sleep_until(from).await;
-    shared.access.asked.notified().await;
+    shared.access.read_requested.notified().await;
 }
 
 /// `newest` is the version of the newest record, as far as that can be read.
 fn take_config(shared: &Shared, batch: Batch, newest: &mut Option<Revision>) -> bool {
     let mut fresh = false;
-    if batch.whole {
+    if batch.complete {
         // A store that has come back from a copy may have none.
         *newest = None;
     }
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Config(catalog) => {
+            Update::Config(catalog) => {
                 *newest = Some(catalog.version);
                 fresh |= adopt(shared, catalog);
             }
-            News::Unreadable(cause) => {
+            Update::InvalidConfig(cause) => {
                 *newest = None;
                 emit(&Event::Unreadable { dependency: Dependency::Configuration, cause: &cause });
             }
-            News::Member(_) | News::Foreign(..) | News::Own(..) => {}
+            Update::Endpoint(_) | Update::InvalidEndpoint(..) | Update::Record(..) => {}
         }
     }
     fresh
@@ -188,7 +188,7 @@
     }
     let routes = catalog.routes().count();
     let known = current.as_ref().and_then(|current| current.workspaces.as_ref());
-    shared.access.compare(known, catalog.workspaces.as_ref());
+    shared.access.update_revoked(known, catalog.workspaces.as_ref());
     shared.catalog.send_replace(Some(Arc::new(catalog)));
     emit(&Event::Configured { version, before, routes });
     shared.known.changed.notify_waiters();
@@ -196,13 +196,13 @@
 }
 
 /// Follows the list of endpoints for as long as the process runs.
-pub(crate) async fn members(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store, Topic::Servers);
+pub(crate) async fn follow_members(shared: Arc<Shared>, store: Store) {
+    let mut follower = Follower::new(store, Topic::Endpoints);
     let mut contact = Contact::new(Dependency::Membership);
     let mut foreign = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
-        follower.skip(shared.known.lock().read);
+        follower.skip_to(shared.known.lock().list_position);
         match follower.next(contact.wait(bounds.drain, LIST_PACE)).await {
             Ok(batch) => {
                 contact.reached();
@@ -210,19 +210,19 @@
                     // What servers wrote since the copy was made, they write again.
                     contact.returned = Some(Instant::now());
                     let (before, read) =
-                        (shared.known.lock().read.to_string(), batch.read.to_string());
+                        (shared.known.lock().list_position.to_string(), batch.position.to_string());
                     let (before, read) = (before.as_str(), read.as_str());
                     emit(&Event::Restored { dependency: Dependency::Membership, before, read });
                 }
-                let until = contact.returned.map(|returned| returned + LAPSE);
-                let more = batch.more;
+                let until = contact.returned.map(|returned| returned + LAPSED_ENTRY_GRACE);
+                let more = batch.has_more;
                 take_members(&shared, batch, until, &mut foreign);
-                shared.read_store(Feed::Membership, true);
+                shared.record_store_read(Feed::Membership, true);
                 // What is left of a long absence is not put off.
                 tokio::time::sleep(if more { Duration::ZERO } else { LIST_PACE }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Membership, false);
+                shared.record_store_read(Feed::Membership, false);
                 contact.failed(&error, longest(&shared, bounds.drain)).await;
             }
         }
@@ -238,26 +238,26 @@
     foreign: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Member(change) => {
+            Update::Endpoint(change) => {
                 if let EndpointChange::Listed(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
-            News::Foreign(key, cause) => {
+            Update::InvalidEndpoint(key, cause) => {
                 // It may stand where an endpoint was.
                 changes.extend(key.parse().map(EndpointChange::Removed));
                 if foreign.len() < FOREIGN && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
             }
-            News::Config(_) | News::Unreadable(_) | News::Own(..) => {}
+            Update::Config(_) | Update::InvalidConfig(_) | Update::Record(..) => {}
         }
     }
-    let news = Listed { changes, whole: batch.whole, read: batch.read };
-    let missing = shared.known.apply(news, until);
+    let news = ListUpdate { changes, whole: batch.complete, read: batch.position };
+    let missing = shared.known.apply_list(news, until);
     missing::ask(shared, missing);
-    peer::follow_new(shared);
+    loader_task::start_new(shared);
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -163,11 +163,11 @@
         frame = answer.body.frame() => match frame {
             Some(Ok(frame)) => Heard::Data(frame.into_data().unwrap_or_default()),
             Some(Err(error)) => Heard::Broken(error.to_string()),
-            None => Heard::End,
+            None => Heard::End
         },
         () = writer.closed() => Heard::Left,
         () = tokio::time::sleep_until(due) => Heard::Late,
-        () = silence, if patience.is_some() => Heard::Silence,
+        () = silence, if patience.is_some() => Heard::Silence
     }
 }
 
@@ -200,7 +200,7 @@
             Heard::Left => return times.left(),
             Heard::Late => break "the time of the request is over".to_owned(),
             Heard::Data(data) => {
-                answer.place.pool.signs().alive(Instant::now());
+                answer.place.pool.liveness().answer_received(Instant::now());
                 let ready = if resumable { events.take(data) } else { data };
                 if ready.is_empty() {
                     continue;
@@ -219,7 +219,7 @@
                 }
                 let _ = writer.finish().await;
                 times.answered(status, &pace, true);
-                flight.shared.known.streamed(pace.gap > flight.route.max_pause);
+                flight.shared.known.record_stream(pace.gap > flight.route.max_pause);
                 flight.outlived();
                 return answer.keep();
             }
@@ -238,7 +238,7 @@
         events.rest.clear();
         let resumed = tokio::select! {
             resumed = resume(&mut flight, &id, &loss, events.last) => resumed,
-            () = writer.closed() => return times.left(),
+            () = writer.closed() => return times.left()
         };
         match resumed {
             Some(next) => answer = next,
