--- a/components/events/src/count.rs
+++ b/components/events/src/count.rs
@@ -30,7 +30,7 @@
                 .increment(1);
             histogram!("refused_held_seconds").record(seconds(*held_ms));
         }
-        Event::Left { held_ms, .. } => {
+        Event::CallerLeft { held_ms, .. } => {
             counter!("requests_left_total").increment(1);
             histogram!("left_held_seconds").record(seconds(*held_ms));
         }
@@ -43,7 +43,7 @@
                 counter!("cold_starts_total", "class" => class).increment(u64::from(*cold));
             }
         }
-        Event::Repeat { allowed, spent, limit, .. } => {
+        Event::Retry { allowed, spent, limit, .. } => {
             let outcome = if *allowed { "allowed" } else { "denied" };
             counter!("repeats_total", "outcome" => outcome).increment(1);
             gauge!("repeats_spent").set(f64::from(*spent));
@@ -56,11 +56,11 @@
             let late = took_ms.saturating_sub(*expect_ms);
             histogram!("load_late_seconds", "tier" => tier).record(seconds(late));
         }
-        Event::Wanted { cause, expect_ms, .. } => {
+        Event::LoadRequested { cause, expect_ms, .. } => {
             counter!("models_wanted_total", "cause" => (*cause).to_owned()).increment(1);
             histogram!("load_expected_seconds").record(seconds(*expect_ms));
         }
-        Event::Declined { cause, .. } => {
+        Event::LoadDeclined { cause, .. } => {
             let cause = if *cause == NO_ROOM { NO_ROOM } else { "no answer" };
             counter!("models_declined_total", "cause" => cause).increment(1);
         }
@@ -68,14 +68,14 @@
             let (work, outcome) = ((*work).to_owned(), name(outcome));
             counter!("orders_total", "work" => work, "outcome" => outcome).increment(1);
         }
-        Event::Lost { dependency, .. } => {
+        Event::DependencyLost { dependency, .. } => {
             counter!("dependencies_lost_total", "dependency" => name(dependency)).increment(1);
         }
-        Event::Regained { dependency, after_ms, .. } => {
+        Event::DependencyRegained { dependency, after_ms, .. } => {
             histogram!("dependency_away_seconds", "dependency" => name(dependency))
                 .record(seconds(*after_ms));
         }
-        Event::Suspect { .. } => counter!("endpoints_paused_total").increment(1),
+        Event::EndpointPaused { .. } => counter!("endpoints_paused_total").increment(1),
         Event::Configured { version, .. } => {
             #[allow(clippy::cast_precision_loss, reason = "versions are small")]
             gauge!("configuration_version").set(*version as f64);
@@ -84,42 +84,42 @@
         Event::Unreadable { dependency, .. } => {
             counter!("records_unreadable_total", "dependency" => name(dependency)).increment(1);
         }
-        Event::Member { stage, .. } => {
+        Event::EndpointChanged { stage, .. } => {
             counter!("members_total", "stage" => (*stage).to_owned()).increment(1);
         }
-        Event::Holds { models, .. } => {
+        Event::HoldingsChanged { models, .. } => {
             gauge!("models_held").set(f64::from(u32::try_from(*models).unwrap_or(u32::MAX)));
         }
-        Event::Examined { ended, .. } => {
+        Event::CrashChecked { ended, .. } => {
             let outcome = if *ended { "ended" } else { "not ended" };
             counter!("endpoints_examined_total", "outcome" => outcome).increment(1);
         }
-        Event::Blamed { suspect: true, .. } => counter!("suspects_total").increment(1),
-        Event::Barred { tried, .. } => {
+        Event::SuspectChanged { suspect: true, .. } => counter!("suspects_total").increment(1),
+        Event::SuspectRequest { tried, .. } => {
             let outcome = if *tried { "tried" } else { "refused" };
             counter!("suspects_barred_total", "outcome" => outcome).increment(1);
         }
-        Event::Denied { cause, .. } => {
+        Event::KeyRejected { cause, .. } => {
             counter!("requests_denied_total", "cause" => (*cause).to_owned()).increment(1);
         }
-        Event::Limited { workspace, cost, .. } => {
+        Event::LimitExceeded { workspace, cost, .. } => {
             let workspace = (*workspace).to_owned();
             counter!("requests_limited_total", "workspace" => workspace.clone()).increment(1);
             counter!("tokens_limited_total", "workspace" => workspace).increment(*cost);
         }
-        Event::Shared { shares, .. } => gauge!("quota_shares").set(f64::from(*shares)),
-        Event::Dropped { lines } => counter!("lines_dropped_total").increment(*lines),
-        Event::Restored { dependency, .. } => {
+        Event::ShareChanged { shares, .. } => gauge!("quota_shares").set(f64::from(*shares)),
+        Event::LinesDropped { lines } => counter!("lines_dropped_total").increment(*lines),
+        Event::StoreRestored { dependency, .. } => {
             counter!("store_restores_total", "dependency" => name(dependency)).increment(1);
         }
-        Event::Told { .. } => counter!("routers_told_total").increment(1),
+        Event::SnapshotReceived { .. } => counter!("routers_told_total").increment(1),
         Event::Started { .. }
         | Event::Stopping { .. }
         | Event::Stopped { .. }
         | Event::Reloaded { .. }
-        | Event::Token { .. }
-        | Event::Blamed { .. }
-        | Event::Lane { .. } => {}
+        | Event::TokenAcquired { .. }
+        | Event::SuspectChanged { .. }
+        | Event::LoadPermit { .. } => {}
     }
 }
 
@@ -143,7 +143,7 @@
     }
 }
 
-/// The cause in [`Event::Declined`] if the loader was reached and has no room in time; all other causes count as `no answer`.
+/// The cause in [`Event::LoadDeclined`] if the loader was reached and has no room in time; all other causes count as `no answer`.
 pub const NO_ROOM: &str = "no room in time";
 
 /// The size of a memory page, in bytes.
--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -19,15 +19,17 @@
     Endpoint,
     /// The platform's store, as the source of fencing tokens.
     Fencing,
-    /// The platform's store, in which loaders agree on whose turn it is to load from the weight store.
-    Lanes,
+    /// The platform's store, in which loaders agree on permits to load from the weight store.
+    #[serde(rename = "lanes")]
+    LoadPermits,
     /// The platform's store, through which routers exchange crash records.
-    Ends,
+    #[serde(rename = "ends")]
+    CrashRecords,
     /// The platform's store, in which routers register for a share in the limits of workspaces.
     Roster,
 }
 
-/// Why a request was refused.
+/// Why a request was refused. Most variants go to the caller under their own names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
@@ -74,7 +76,8 @@
     /// The request continues at another endpoint after the last event that arrived.
     Resumed,
     /// The request waits for a model to be loaded.
-    Waits,
+    #[serde(rename = "waits")]
+    WaitsForLoad,
 }
 
 /// The result of an order to an endpoint.
@@ -97,7 +100,7 @@
     Unknown,
 }
 
-/// An event, logged as one line of JSON. The `event` field of the line has the name of the variant.
+/// An event, logged as one line of JSON. The `event` field has the outer name of the variant.
 #[derive(Debug, Clone, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event<'a> {
@@ -119,7 +122,8 @@
         requests: usize,
     },
     /// Another router sent a snapshot with something newer than this router had read.
-    Told {
+    #[serde(rename = "told")]
+    SnapshotReceived {
         /// The other router.
         router: &'a str,
         /// The version of the configuration in the snapshot; 0 if it isn't newer.
@@ -130,7 +134,8 @@
         read: &'a str,
     },
     /// The store was restored from an older copy, and was read anew.
-    Restored {
+    #[serde(rename = "restored")]
+    StoreRestored {
         /// What was read anew.
         dependency: Dependency,
         /// How far it had been read before the restore: era and offset.
@@ -144,7 +149,8 @@
         outcome: &'a str,
     },
     /// A dependency became unreachable.
-    Lost {
+    #[serde(rename = "lost")]
+    DependencyLost {
         /// The dependency.
         dependency: Dependency,
         /// The name of the instance or store that is unreachable.
@@ -153,7 +159,8 @@
         cause: &'a str,
     },
     /// A dependency is reachable again.
-    Regained {
+    #[serde(rename = "regained")]
+    DependencyRegained {
         /// The dependency.
         dependency: Dependency,
         /// The name of the instance or store that is reachable again.
@@ -185,7 +192,8 @@
         current: u64,
     },
     /// An endpoint was added, or what is known of it has changed.
-    Member {
+    #[serde(rename = "member")]
+    EndpointChanged {
         /// The endpoint.
         endpoint: &'a str,
         /// The address of the endpoint.
@@ -197,7 +205,8 @@
         cause: &'a str,
     },
     /// An endpoint gets no new requests for a while, because calls to it failed.
-    Suspect {
+    #[serde(rename = "suspect")]
+    EndpointPaused {
         /// The endpoint.
         endpoint: &'a str,
         /// How long it gets no new requests.
@@ -286,7 +295,8 @@
         held_ms: u64,
     },
     /// The caller disconnected.
-    Left {
+    #[serde(rename = "left")]
+    CallerLeft {
         /// The id of the request.
         request: &'a str,
         /// How long the router held the request.
@@ -295,7 +305,8 @@
         left_ms: u64,
     },
     /// The retry budget of a service was asked whether a request may be sent again.
-    Repeat {
+    #[serde(rename = "repeat")]
+    Retry {
         /// The id of the request.
         request: &'a str,
         /// The service.
@@ -308,7 +319,8 @@
         limit: u32,
     },
     /// An endpoint that interrupted requests was examined.
-    Examined {
+    #[serde(rename = "examined")]
+    CrashChecked {
         /// The endpoint.
         endpoint: &'a str,
         /// The incarnation of the endpoint; 0 if the endpoint does not report it.
@@ -325,7 +337,8 @@
         after_ms: u64,
     },
     /// A request became a suspect, or is no longer one.
-    Blamed {
+    #[serde(rename = "blamed")]
+    SuspectChanged {
         /// The digest of the request.
         digest: &'a str,
         /// Whether the request is a suspect now.
@@ -334,7 +347,8 @@
         ends: &'a str,
     },
     /// A request was refused because it crashes endpoints, or it is tried once more.
-    Barred {
+    #[serde(rename = "barred")]
+    SuspectRequest {
         /// The id of the request.
         request: &'a str,
         /// The digest of the request.
@@ -345,7 +359,8 @@
         ends: &'a str,
     },
     /// A request was rejected because of its key.
-    Denied {
+    #[serde(rename = "denied")]
+    KeyRejected {
         /// The id of the request.
         request: &'a str,
         /// The beginning of the key's digest; empty if there is no key.
@@ -358,7 +373,8 @@
         age_ms: u64,
     },
     /// A request was rejected because of the limit of its workspace.
-    Limited {
+    #[serde(rename = "limited")]
+    LimitExceeded {
         /// The id of the request.
         request: &'a str,
         /// The workspace.
@@ -377,14 +393,16 @@
         version: u64,
     },
     /// The share of this router in all limits has changed.
-    Shared {
+    #[serde(rename = "shared")]
+    ShareChanged {
         /// The number of equal shares; 0 if this router has no share.
         shares: u32,
         /// The number of shares before.
         before: u32,
     },
     /// A loader was asked to load a model.
-    Wanted {
+    #[serde(rename = "wanted")]
+    LoadRequested {
         /// The model.
         model: &'a str,
         /// The endpoint.
@@ -395,7 +413,8 @@
         cause: &'a str,
     },
     /// A loader refused to load a model, or could not be reached.
-    Declined {
+    #[serde(rename = "declined")]
+    LoadDeclined {
         /// The model.
         model: &'a str,
         /// The endpoint.
@@ -432,7 +451,8 @@
         expect_ms: u64,
     },
     /// The models or copies on an endpoint have changed.
-    Holds {
+    #[serde(rename = "holds")]
+    HoldingsChanged {
         /// The endpoint.
         endpoint: &'a str,
         /// The number of loaded models.
@@ -447,24 +467,26 @@
         version: u64,
     },
     /// A loader got a fencing token.
-    Token {
+    #[serde(rename = "token")]
+    TokenAcquired {
         /// The token.
         token: u64,
     },
-    /// A loader got its turn to load from the weight store.
-    Lane {
+    /// A loader got a permit to load from the weight store.
+    #[serde(rename = "lane")]
+    LoadPermit {
         /// The model.
         model: &'a str,
         /// The requests per second that the load would serve.
         worth: f64,
-        /// How long the loader waited for its turn.
+        /// How long the loader waited for the permit.
         waited_ms: u64,
-        /// Whether the loaders agreed on the turn. While the store is unreachable, each loader goes by what was agreed on
-        /// before.
+        /// Whether the loaders agreed on the permit. While the store is unreachable, each loader goes by what was agreed on before.
         agreed: bool,
     },
     /// Lines were dropped, because the buffer was too full.
-    Dropped {
+    #[serde(rename = "dropped")]
+    LinesDropped {
         /// The number of lines.
         lines: u64,
     },
@@ -483,11 +505,11 @@
             | Self::Step { request, .. }
             | Self::Answered { request, .. }
             | Self::Refused { request, .. }
-            | Self::Repeat { request, .. }
-            | Self::Barred { request, .. }
-            | Self::Denied { request, .. }
-            | Self::Limited { request, .. }
-            | Self::Left { request, .. } => Some(request),
+            | Self::Retry { request, .. }
+            | Self::SuspectRequest { request, .. }
+            | Self::KeyRejected { request, .. }
+            | Self::LimitExceeded { request, .. }
+            | Self::CallerLeft { request, .. } => Some(request),
             _ => None,
         }
     }
@@ -496,13 +518,13 @@
     pub(crate) fn is_failure(&self) -> bool {
         match self {
             Self::Refused { .. }
-            | Self::Lost { .. }
-            | Self::Suspect { .. }
-            | Self::Examined { .. }
-            | Self::Blamed { .. }
-            | Self::Barred { .. }
-            | Self::Denied { .. }
-            | Self::Limited { .. } => true,
+            | Self::DependencyLost { .. }
+            | Self::EndpointPaused { .. }
+            | Self::CrashChecked { .. }
+            | Self::SuspectChanged { .. }
+            | Self::SuspectRequest { .. }
+            | Self::KeyRejected { .. }
+            | Self::LimitExceeded { .. } => true,
             Self::Answered { status, whole, .. } => *status >= 500 || !whole,
             _ => false,
         }
--- a/components/events/src/sink.rs
+++ b/components/events/src/sink.rs
@@ -110,7 +110,7 @@
         // An error can't be reported, since standard output is gone.
         let _ = write_lines(&mut std::io::stdout(), &bytes);
         if dropped > 0 {
-            emit(&Event::Dropped { lines: dropped });
+            emit(&Event::LinesDropped { lines: dropped });
         }
     }
 }
--- a/components/events/src/sink/tests.rs
+++ b/components/events/src/sink/tests.rs
@@ -37,7 +37,7 @@
         .filter(|id| admit(SAMPLING_FILL_BYTES, &accepted(id)))
         .collect();
     assert!((60..200).contains(&kept.len()), "{}", kept.len());
-    let left = |request| Event::Left { request, held_ms: 0, left_ms: 0 };
+    let left = |request| Event::CallerLeft { request, held_ms: 0, left_ms: 0 };
     assert!(kept.iter().all(|id| admit(SAMPLING_FILL_BYTES, &left(id))));
 }
 
--- a/components/loader/src/fence.rs
+++ b/components/loader/src/fence.rs
@@ -29,7 +29,7 @@
 ) {
     loop {
         let written = write(&store, &instance).await;
-        emit(&Event::Token { token: FencingToken::from(written).0 });
+        emit(&Event::TokenAcquired { token: FencingToken::from(written).0 });
         start.send_replace(Some(written));
         fenced.notified().await;
         start.send_replace(None);
@@ -42,7 +42,7 @@
     loop {
         match store.append(TOPIC, instance.as_bytes()).await {
             Ok(start) => return start,
-            Err(error) => emit(&Event::Lost {
+            Err(error) => emit(&Event::DependencyLost {
                 dependency: Dependency::Fencing,
                 name: "store",
                 cause: &error.to_string(),
--- a/components/loader/src/lane.rs
+++ b/components/loader/src/lane.rs
@@ -298,7 +298,7 @@
     /// It is the loader's turn.
     fn go(&self, wish: &Wish, since: Instant, agreed: bool) {
         let (model, waited_ms) = (wish.model.as_str(), millis(since.elapsed()));
-        emit(&Event::Lane { model, worth: wish.worth, waited_ms, agreed });
+        emit(&Event::LoadPermit { model, worth: wish.worth, waited_ms, agreed });
         self.granted.send_replace(Some(wish.model.clone()));
     }
 
@@ -319,16 +319,16 @@
     /// Since when the store does not answer.
     fn away(&mut self, error: &StoreError) -> Instant {
         *self.away.get_or_insert_with(|| {
-            let (dependency, cause) = (Dependency::Lanes, error.to_string());
-            emit(&Event::Lost { dependency, name: "store", cause: &cause });
+            let (dependency, cause) = (Dependency::LoadPermits, error.to_string());
+            emit(&Event::DependencyLost { dependency, name: "store", cause: &cause });
             Instant::now()
         })
     }
 
     fn reached(&mut self) {
         if let Some(since) = self.away.take() {
-            let (dependency, after_ms) = (Dependency::Lanes, millis(since.elapsed()));
-            emit(&Event::Regained { dependency, name: "store", after_ms });
+            let (dependency, after_ms) = (Dependency::LoadPermits, millis(since.elapsed()));
+            emit(&Event::DependencyRegained { dependency, name: "store", after_ms });
         }
     }
 }
--- a/components/loader/src/records.rs
+++ b/components/loader/src/records.rs
@@ -67,8 +67,8 @@
             LogRead::Expired(first) => self.next = first,
             LogRead::Restored(first) => {
                 let (before, read) = (self.next.to_string(), first.to_string());
-                let (dependency, before, read) = (Dependency::Lanes, &*before, &*read);
-                emit(&Event::Restored { dependency, before, read });
+                let (dependency, before, read) = (Dependency::LoadPermits, &*before, &*read);
+                emit(&Event::StoreRestored { dependency, before, read });
                 self.queue.restored();
                 self.next = first;
                 self.settling = Some(now() + SETTLE);
--- a/components/loader/src/steward.rs
+++ b/components/loader/src/steward.rs
@@ -251,7 +251,7 @@
             Ok(mut report) => {
                 if self.lost {
                     let after = self.reached.map_or(Duration::ZERO, |reached| reached.elapsed());
-                    emit(&Event::Regained {
+                    emit(&Event::DependencyRegained {
                         dependency: Dependency::Endpoint,
                         name: &self.addr.to_string(),
                         after_ms: millis(after),
@@ -274,7 +274,7 @@
             }
             Err(error) => {
                 if !self.lost {
-                    emit(&Event::Lost {
+                    emit(&Event::DependencyLost {
                         dependency: Dependency::Endpoint,
                         name: &self.addr.to_string(),
                         cause: &error.to_string(),
@@ -290,7 +290,7 @@
     /// The endpoint has started again under its id: what it ran, held, loaded or was about to drop is gone. What routers
     /// wait for stays wanted.
     fn restarted(&mut self) {
-        emit(&Event::Member {
+        emit(&Event::EndpointChanged {
             endpoint: self.endpoint.as_ref().map_or("", |id| id.as_str()),
             addr: self.addr.to_string(),
             stage: "restarted",
--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/steward/publish.rs
@@ -61,7 +61,7 @@
             state.engine_version = self.engine;
             state.endpoint = self.endpoint.clone();
             state.incarnation = self.life;
-            emit(&Event::Holds {
+            emit(&Event::HoldingsChanged {
                 endpoint: state.endpoint.as_ref().map_or("", |id| id.as_str()),
                 models: state.holdings.models.len(),
                 memory: state.holdings.copies.memory.len(),
--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -231,7 +231,7 @@
         Credential::Absent | Credential::Malformed => String::new(),
     };
     shared.access.note_denied(&key, cause);
-    emit(&Event::Denied {
+    emit(&Event::KeyRejected {
         request: arrival.name,
         key: &key,
         cause,
--- a/components/router/src/charge.rs
+++ b/components/router/src/charge.rs
@@ -88,7 +88,7 @@
     let left = charge.own.tokens;
     drop(charge);
     quotas.count(name, cost, false);
-    emit(&Event::Limited {
+    emit(&Event::LimitExceeded {
         request,
         workspace: name.as_str(),
         cost: whole(cost),
--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -97,7 +97,7 @@
         Found::Ended(cause) => (true, cause),
         Found::Spared(cause) => (false, cause),
     };
-    emit(&Event::Examined {
+    emit(&Event::CrashChecked {
         endpoint: id.as_str(),
         incarnation: life.unwrap_or_default().0,
         ended,
--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -48,10 +48,11 @@
         };
         match next {
             Ok(batch) => {
-                events::record_reached(Dependency::Ends);
+                events::record_reached(Dependency::CrashRecords);
                 if let Some(since) = away.take() {
-                    let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
-                    emit(&Event::Regained { dependency, name: "store", after_ms });
+                    let (dependency, after_ms) =
+                        (Dependency::CrashRecords, millis(since.elapsed()));
+                    emit(&Event::DependencyRegained { dependency, name: "store", after_ms });
                 }
                 shared.crash_records_position.send_replace(Some(batch.position));
                 let empty = batch.updates.is_empty() && !batch.complete;
@@ -117,7 +118,7 @@
             Ok(note) => all.push(KeyedRecord { key, record: note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be read: {error}");
-                emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
+                emit(&Event::Unreadable { dependency: Dependency::CrashRecords, cause: &cause });
             }
         }
     }
@@ -137,8 +138,8 @@
 
 fn lost(away: &mut Option<Instant>, error: &StoreError) {
     if away.is_none() {
-        let (dependency, cause) = (Dependency::Ends, error.to_string());
-        emit(&Event::Lost { dependency, name: "store", cause: &cause });
+        let (dependency, cause) = (Dependency::CrashRecords, error.to_string());
+        emit(&Event::DependencyLost { dependency, name: "store", cause: &cause });
         *away = Some(Instant::now());
     }
 }
@@ -154,8 +155,8 @@
         while let Err(error) = store.put(Topic::CrashRecords, &kept.key, &value, None).await {
             if error.is_permanent() || CrashTable::is_expired(&kept.record, wall_clock()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
-                let (dependency, cause) = (Dependency::Ends, error.to_string());
-                emit(&Event::Lost { dependency, name: "record", cause: &cause });
+                let (dependency, cause) = (Dependency::CrashRecords, error.to_string());
+                emit(&Event::DependencyLost { dependency, name: "record", cause: &cause });
                 break;
             }
             log::debug!("router: a record of an ended endpoint is not written yet: {error}");
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -60,7 +60,7 @@
         let Some(since) = self.away.take() else { return };
         self.returned = Some(Instant::now());
         let after_ms = millis(since.elapsed());
-        emit(&Event::Regained { dependency: self.dependency, name: "store", after_ms });
+        emit(&Event::DependencyRegained { dependency: self.dependency, name: "store", after_ms });
     }
 
     /// How long a read may wait whose news must be acted on within `bound`, if reads begin `pace` apart: not at all while
@@ -72,7 +72,11 @@
     async fn failed(&mut self, error: &StoreError, longest: Duration) {
         if self.away.is_none() {
             let cause = error.to_string();
-            emit(&Event::Lost { dependency: self.dependency, name: "store", cause: &cause });
+            emit(&Event::DependencyLost {
+                dependency: self.dependency,
+                name: "store",
+                cause: &cause,
+            });
             self.away = Some(Instant::now());
         }
         tokio::time::sleep(self.pause.min(longest)).await;
@@ -212,7 +216,11 @@
                     let (before, read) =
                         (shared.known.lock().list_position.to_string(), batch.position.to_string());
                     let (before, read) = (before.as_str(), read.as_str());
-                    emit(&Event::Restored { dependency: Dependency::Membership, before, read });
+                    emit(&Event::StoreRestored {
+                        dependency: Dependency::Membership,
+                        before,
+                        read,
+                    });
                 }
                 let until = contact.returned.map(|returned| returned + LAPSED_ENTRY_GRACE);
                 let more = batch.has_more;
--- a/components/router/src/flight.rs
+++ b/components/router/src/flight.rs
@@ -161,7 +161,7 @@
             tried = crash_records::claim_trial(&self.shared, &digest, number).await;
         }
         if barred != Rejection::Busy {
-            emit(&Event::Barred {
+            emit(&Event::SuspectRequest {
                 request: &self.name,
                 digest: &digest.to_string(),
                 tried: tried.is_some(),
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -313,7 +313,7 @@
 }
 
 fn emit_blamed(digest: &Digest, suspect: bool, ends: &str) {
-    emit(&Event::Blamed { digest: &digest.to_string(), suspect, ends });
+    emit(&Event::SuspectChanged { digest: &digest.to_string(), suspect, ends });
 }
 
 /// Endpoint, life and age of each end.
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -198,7 +198,7 @@
             peer.list_position = read;
         }
         if before.is_none_or(|before| (before == EndpointStage::Ready) != (stage == "ready")) {
-            emit(&Event::Member { endpoint: id.as_str(), addr, stage, cause: "" });
+            emit(&Event::EndpointChanged { endpoint: id.as_str(), addr, stage, cause: "" });
         }
     }
 
@@ -209,7 +209,7 @@
         };
         peer.missing = Some(MissingEntry { until, silent: false });
         let (addr, cause) = (peer.endpoint.addr.to_string(), "the store was away");
-        emit(&Event::Member { endpoint: id.as_str(), addr, stage: "missing", cause });
+        emit(&Event::EndpointChanged { endpoint: id.as_str(), addr, stage: "missing", cause });
         true
     }
 
@@ -221,7 +221,7 @@
             task.abort();
         }
         let addr = peer.endpoint.addr.to_string();
-        emit(&Event::Member { endpoint: id.as_str(), addr, stage: "gone", cause });
+        emit(&Event::EndpointChanged { endpoint: id.as_str(), addr, stage: "gone", cause });
     }
 }
 
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -75,7 +75,11 @@
                 if let Some(since) = lost.take() {
                     let after_ms = millis(since.elapsed());
                     let name = id.as_str();
-                    emit(&Event::Regained { dependency: Dependency::Loader, name, after_ms });
+                    emit(&Event::DependencyRegained {
+                        dependency: Dependency::Loader,
+                        name,
+                        after_ms,
+                    });
                 }
                 pause = RETRY;
                 match polled {
@@ -101,7 +105,11 @@
                 if lost.is_none() {
                     lost = Some(Instant::now());
                     let (name, cause) = (id.as_str(), error.to_string());
-                    emit(&Event::Lost { dependency: Dependency::Loader, name, cause: &cause });
+                    emit(&Event::DependencyLost {
+                        dependency: Dependency::Loader,
+                        name,
+                        cause: &cause,
+                    });
                 }
                 seen = 0;
                 tokio::time::sleep(pause).await;
@@ -158,7 +166,7 @@
         }
         (addr, rate)
     };
-    emit(&Event::Wanted {
+    emit(&Event::LoadRequested {
         model: &target.to_string(),
         endpoint: id.as_str(),
         expect_ms: millis(request.expect),
@@ -199,7 +207,7 @@
     };
     let EnsureRequest { endpoint: id, target, .. } = ensure;
     if !pause.is_zero() {
-        emit(&Event::Declined {
+        emit(&Event::LoadDeclined {
             model: &target.to_string(),
             endpoint: id.as_str(),
             after_ms: millis(pause),
--- a/components/router/src/probe.rs
+++ b/components/router/src/probe.rs
@@ -37,7 +37,7 @@
             && pool.liveness().state(Instant::now()) != LivenessState::Responsive
         {
             if first {
-                emit(&Event::Lost { dependency: Dependency::Endpoint, name, cause });
+                emit(&Event::DependencyLost { dependency: Dependency::Endpoint, name, cause });
             }
             tokio::time::sleep(pause).await;
             pause = (pause * 2).min(LONGEST);
@@ -49,7 +49,7 @@
         }
         if !first {
             let after_ms = millis(since.elapsed());
-            emit(&Event::Regained { dependency: Dependency::Endpoint, name, after_ms });
+            emit(&Event::DependencyRegained { dependency: Dependency::Endpoint, name, after_ms });
         }
         return;
     }
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -102,7 +102,7 @@
         self.started.send_replace(true);
         let shares = count(&roster);
         if shares != before {
-            emit(&Event::Shared { shares, before });
+            emit(&Event::ShareChanged { shares, before });
         }
     }
 
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -88,7 +88,7 @@
         }
         if let Some(peer) = peers.map.get(id).filter(|peer| stayed && !peer.accepts_work()) {
             let (addr, cause) = (peer.endpoint.addr.to_string(), "its loader says so");
-            emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
+            emit(&Event::EndpointChanged { endpoint: id.as_str(), addr, stage: "draining", cause });
         }
         let peers = &mut *peers;
         if let Some((state, _)) = peers.map.get(id).and_then(|peer| peer.state.as_ref()) {
@@ -165,11 +165,11 @@
         }
         if stayed && notice.draining {
             let (addr, cause) = (peer.endpoint.addr.to_string(), "it says so in an answer");
-            emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
+            emit(&Event::EndpointChanged { endpoint: id.as_str(), addr, stage: "draining", cause });
         }
         if let Some(after) = after {
             let (pause_ms, cause) = (millis(after), "it wants nothing for so long");
-            emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
+            emit(&Event::EndpointPaused { endpoint: id.as_str(), pause_ms, cause });
         }
         drop(peers);
         self.changed.notify_waiters();
@@ -231,7 +231,7 @@
         peer.recent_failures.record_failure(Instant::now());
         peer.paused_until = Some(Instant::now() + pause);
         let pause_ms = millis(pause);
-        emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
+        emit(&Event::EndpointPaused { endpoint: id.as_str(), pause_ms, cause });
     }
 
     /// Whether a loader may be asked to make room for a model that so many endpoints should hold, which is noted.
@@ -384,6 +384,11 @@
             urged.retain(|(other, _)| other != id);
         }
         let addr = self.map.get(id).map_or_else(String::new, |peer| peer.endpoint.addr.to_string());
-        emit(&Event::Member { endpoint: id.as_str(), addr, stage: "restarted", cause: "" });
+        emit(&Event::EndpointChanged {
+            endpoint: id.as_str(),
+            addr,
+            stage: "restarted",
+            cause: "",
+        });
     }
 }
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -50,7 +50,7 @@
 
     pub(crate) fn left(&self) {
         let now = Instant::now();
-        emit(&Event::Left {
+        emit(&Event::CallerLeft {
             request: &self.name,
             held_ms: millis(now - self.arrived),
             left_ms: millis(self.until.saturating_duration_since(now)),
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -46,14 +46,14 @@
                 events::record_reached(Dependency::Roster);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Roster, millis(since.elapsed()));
-                    emit(&Event::Regained { dependency, name: "store", after_ms });
+                    emit(&Event::DependencyRegained { dependency, name: "store", after_ms });
                 }
                 tokio::time::sleep_until(begun + PACE).await;
             }
             Err(error) => {
                 if away.is_none() {
                     let (dependency, cause) = (Dependency::Roster, error.to_string());
-                    emit(&Event::Lost { dependency, name: "store", cause: &cause });
+                    emit(&Event::DependencyLost { dependency, name: "store", cause: &cause });
                     away = Some(Instant::now());
                 }
                 tokio::time::sleep(RETRY).await;
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -269,7 +269,7 @@
         let taken =
             self.with_repeats(service, |repeats| repeats.try_retry(routers, Instant::now()));
         let RetryDecision { allowed, spent, limit } = taken;
-        emit(&Event::Repeat { request, service: service.as_str(), allowed, spent, limit });
+        emit(&Event::Retry { request, service: service.as_str(), allowed, spent, limit });
         allowed
     }
 
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -88,7 +88,7 @@
     let version = catalog.as_ref().map_or(0, |catalog| catalog.version.0);
     let read = &snapshot.read.to_string();
     if version > 0 || endpoints > 0 {
-        emit(&Event::Told { router, version, endpoints, read });
+        emit(&Event::SnapshotReceived { router, version, endpoints, read });
     }
     if let Some(catalog) = catalog {
         adopt(shared, catalog);
