--- a/components/access/src/decision.rs
+++ b/components/access/src/decision.rs
@@ -14,7 +14,7 @@
     Absent,
     /// The digest of the presented key.
     Key(KeyDigest),
-    /// The `Authorization` header is not a key: there are two of them, the scheme is another one, or the key is too long.
+    /// The `Authorization` header holds no valid key: it occurs twice, has another scheme, or its key is empty, too long or unprintable.
     Malformed,
 }
 
--- a/components/quota/src/bucket/tests.rs
+++ b/components/quota/src/bucket/tests.rs
@@ -5,7 +5,7 @@
 const SHARE: BucketSpec = BucketSpec { refill_rate: 100.0, capacity: 500.0 };
 
 #[test]
-fn begins_empty_and_fills_up_to_its_depth() {
+fn starts_empty_and_fills_up_to_its_capacity() {
     let start = Moment::now();
     let mut bucket = Bucket::new(start);
     assert!(bucket.level(SHARE, start) < 1e-9);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn gives_no_more_than_it_holds() {
+fn gives_no_more_tokens_than_it_holds() {
     let start = Moment::now();
     let mut bucket = Bucket::new(start);
     let later = start + Duration::from_secs(3);
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn what_is_given_back_is_as_if_it_had_not_been_taken() {
+fn refunded_tokens_are_as_if_they_had_not_been_taken() {
     let start = Moment::now();
     let (mut bucket, mut other) = (Bucket::new(start), Bucket::new(start));
     let at = |tenths: u32| start + Duration::from_millis(100) * tenths;
     let taken = bucket.take(SHARE, 200.0, at(20));
-    // The one fills up to its depth, and the other one has had room for part of it only.
+    // `other` reaches its capacity, so that `bucket` would have had room for only a part of the taken tokens.
     for tenths in [40, 60, 68] {
         bucket.level(SHARE, at(tenths));
         other.level(SHARE, at(tenths));
     }
     bucket.refund(SHARE, taken, at(68));
     assert!((bucket.level(SHARE, at(68)) - other.level(SHARE, at(68))).abs() < 1e-6);
-    // Much later nothing of it is left to give.
+    // After a longer time all taken tokens would have exceeded the capacity.
     let taken = bucket.take(SHARE, 200.0, at(70));
     bucket.take(SHARE, 500.0, at(200));
     bucket.refund(SHARE, taken, at(200));
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn a_limit_that_falls_holds_at_once() {
+fn a_lowered_limit_holds_at_once() {
     let start = Moment::now();
     let mut bucket = Bucket::new(start);
     let later = start + Duration::from_secs(60);
-    let less = BucketSpec { refill_rate: 1.0, capacity: 20.0 };
+    let lower = BucketSpec { refill_rate: 1.0, capacity: 20.0 };
     assert!((bucket.level(SHARE, later) - 500.0).abs() < 1e-6);
-    assert!((bucket.take(less, 1_000.0, later).tokens - 20.0).abs() < 1e-6);
+    assert!((bucket.take(lower, 1_000.0, later).tokens - 20.0).abs() < 1e-6);
 }
--- a/components/quota/src/bucket_spec.rs
+++ b/components/quota/src/bucket_spec.rs
@@ -1,54 +1,56 @@
-//! What a limit allows, as a token bucket.
+//! The token bucket that enforces a limit.
 
 use std::time::Duration;
 
 use catalog::Limit;
 
-/// The part of what is allowed that is given out, since what routers count differs a little from what endpoints see.
+/// The fraction of the allowed units that the buckets give out. The rest covers the small difference between what routers count
+/// and what endpoints see.
 const USABLE_FRACTION: f64 = 0.95;
-/// At least this part of it stands ready in the buckets for requests that come together; the rest refills them.
+/// The smallest fraction of the usable units that is the capacity of the buckets, for bursts of requests. The rest is their
+/// refill within a window.
 const MIN_CAPACITY_FRACTION: f64 = 0.1;
-/// Tokens that were taken from one bucket are used within this time or are lost: meanwhile that bucket refills.
+/// Tokens taken from a bucket for another router are used within this time or are lost. The lender's bucket refills meanwhile.
 pub const LOAN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// By how much a limit may be passed, over all routers together.
+/// By how much a limit may be exceeded, over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// The length of the windows in which requests are counted.
     pub window: Duration,
-    /// The part of the limit beyond it.
+    /// The allowed excess as a fraction of the limit.
     pub overshoot: f64,
-    /// Units beyond these.
+    /// The allowed excess in units, on top of `overshoot`.
     pub slack: f64,
 }
 
 impl Bounds {
-    /// What a limit allows in one window.
+    /// The number of units that a limit allows in one window.
     pub fn allowed(self, limit: Limit) -> f64 {
-        let asked = limit.rate * self.window.as_secs_f64() + limit.burst;
-        asked * (1.0 + self.overshoot) + self.slack
+        let nominal = limit.rate * self.window.as_secs_f64() + limit.burst;
+        nominal * (1.0 + self.overshoot) + self.slack
     }
 }
 
-/// A token bucket: of all routers together, or the share of one.
+/// The parameters of a token bucket: that of all routers together, or the share of one router.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketSpec {
-    /// Units a second that it gains.
+    /// Tokens that the bucket gains per second.
     pub refill_rate: f64,
-    /// The most that it holds.
+    /// The most tokens that the bucket holds.
     pub capacity: f64,
 }
 
 impl BucketSpec {
-    /// The bucket of all routers: in no window more is taken from it than the limit allows.
+    /// The bucket of all routers together: no window takes more from it than the limit allows.
     pub fn new(limit: Limit, bounds: Bounds) -> Self {
-        let allowed = bounds.allowed(limit) * USABLE_FRACTION;
+        let usable = bounds.allowed(limit) * USABLE_FRACTION;
         let span = (bounds.window + LOAN_TIMEOUT).as_secs_f64();
-        let refill_rate = limit.rate.min(allowed * (1.0 - MIN_CAPACITY_FRACTION) / span);
-        Self { refill_rate, capacity: allowed - refill_rate * span }
+        let refill_rate = limit.rate.min(usable * (1.0 - MIN_CAPACITY_FRACTION) / span);
+        Self { refill_rate, capacity: usable - refill_rate * span }
     }
 
-    /// One of so many equal shares.
+    /// One of `shares` equal shares.
     pub fn share(self, shares: u32) -> Self {
         let shares = f64::from(shares.max(1));
         Self { refill_rate: self.refill_rate / shares, capacity: self.capacity / shares }
--- a/components/quota/src/lenders/tests.rs
+++ b/components/quota/src/lenders/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of whom to ask.
+//! Tests of the selection of lenders.
 
 use super::*;
 
@@ -15,27 +15,27 @@
 }
 
 #[test]
-fn asks_one_where_one_has_enough_and_more_each_time() {
+fn asks_one_router_if_one_has_enough_and_doubles_each_wave() {
     let mut lenders = lenders(200.0);
     let waves: Vec<usize> = (0..5).map(|_| lenders.next_wave().len()).collect();
     assert_eq!(waves, [1, 2, 4, 3, 0]);
 }
 
 #[test]
-fn asks_several_at_once_for_a_large_request() {
+fn asks_several_routers_at_once_for_a_large_request() {
     let mut lenders = lenders(2_200.0);
     let waves: Vec<usize> = (0..3).map(|_| lenders.next_wave().len()).collect();
     assert_eq!(waves, [9, 1, 0]);
 }
 
 #[test]
-fn one_with_callers_of_its_own_keeps_half() {
+fn a_router_with_callers_of_its_own_keeps_half() {
     assert!((lendable(100.0, Duration::from_millis(100)) - 50.0).abs() < 1e-9);
     assert!((lendable(100.0, Duration::from_secs(2)) - 100.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_few_that_have_nothing_mean_that_nobody_has() {
+fn a_few_lenders_without_tokens_mean_that_all_are_exhausted() {
     assert!(!likely_exhausted(1, 1_000.0, 0.0));
     assert!(likely_exhausted(3, 1_000.0, 20.0));
     assert!(!likely_exhausted(3, 1_000.0, 300.0));
--- a/components/quota/src/lib.rs
+++ b/components/quota/src/lib.rs
@@ -1,12 +1,12 @@
-//! The limits of workspaces over all routers together, apart from input and output.
+//! Enforces the limits of workspaces over all routers together. Performs no input or output.
 //!
-//! Load pattern: each router gets an uneven and changing part of a workspace's requests, and any of them may be cut off, stand
-//! still or be gone. Whatever they know of each other, all together must not let in more than the limit allows.
+//! Load pattern: each router gets an uneven and changing part of a workspace's requests, and any router may be partitioned,
+//! suspended or gone. Whatever the routers know of each other, all of them together must not admit more than the limit allows.
 //!
-//! Each router has an equal share of the limit for its own, in a token bucket. Who else has a share is written in the platform's
-//! store, in one order for all: a router that joins waits until all others have counted it or have lost their own shares, and one
-//! that has not read the roster for too long has none. A router that is short asks others for tokens: these are taken from one
-//! bucket before they are used at another one, so that nobody has to agree on anything.
+//! Each router owns an equal share of the limit as a token bucket. The store keeps the list of routers that own a share, in one
+//! order for all readers: a router that joins waits until all others have counted it or have lost their own shares, and a router
+//! that has not read the list for too long has no share. A router that is short of tokens borrows some from others: the lender
+//! takes them from its bucket before the borrower uses them, so that the routers need no agreement.
 
 mod bucket;
 mod bucket_spec;
--- a/components/quota/src/meter/tests.rs
+++ b/components/quota/src/meter/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn comes_near_a_steady_rate_and_forgets_it() {
+fn approaches_a_steady_rate_and_decays_afterwards() {
     let start = Moment::now();
     let mut meter = Meter::default();
     let at = |tenths: u32| start + Duration::from_millis(100) * tenths;
--- a/components/quota/src/roster/tests.rs
+++ b/components/quota/src/roster/tests.rs
@@ -18,16 +18,16 @@
     Duration::from_secs(seconds)
 }
 
-/// A router that has read a roster with these.
+/// The roster of router `own` after a complete read that returned these routers.
 fn reading(own: u8, all: &[(u8, Stage)], now: Moment) -> Roster {
     let mut roster = Roster::new(addr(own), domain());
-    let news = all.iter().map(|(number, stage)| (addr(*number), Some(record(*stage)))).collect();
-    roster.apply_read(news, true, now, now);
+    let records = all.iter().map(|(number, stage)| (addr(*number), Some(record(*stage)))).collect();
+    roster.apply_read(records, true, now, now);
     roster
 }
 
 #[test]
-fn has_no_share_before_it_has_read_anything() {
+fn a_router_has_no_share_before_its_first_read() {
     let mut roster = Roster::new(addr(1), domain());
     let now = Moment::now();
     assert_eq!(roster.share(now), None);
@@ -35,10 +35,10 @@
 }
 
 #[test]
-fn joins_and_has_a_share_once_all_have_counted_it() {
+fn a_router_that_joins_has_a_share_once_all_others_count_it() {
     let start = Moment::now();
     let mut roster = reading(1, &[(2, Stage::Member)], start);
-    let write = roster.next_write(start).expect("it joins");
+    let write = roster.next_write(start).expect("a write of its record");
     assert_eq!(write, RosterWrite::Put(addr(1), record(Stage::Joining)));
     roster.confirm_write(&write, start);
     assert_eq!(roster.share(start), None);
@@ -49,21 +49,21 @@
 }
 
 #[test]
-fn one_that_starts_again_has_the_share_of_the_process_before() {
+fn a_restarted_member_keeps_its_share() {
     let start = Moment::now();
     let roster = reading(1, &[(1, Stage::Member), (2, Stage::Member)], start);
     assert_eq!(roster.share(start), Some(Share { count: 2, since: start }));
 }
 
 #[test]
-fn one_that_starts_again_while_it_joins_waits_anew() {
+fn a_router_restarted_while_joining_waits_again() {
     let start = Moment::now();
     let roster = reading(1, &[(1, Stage::Joining)], start);
     assert_eq!(roster.share(start + secs(1)), None);
 }
 
 #[test]
-fn without_a_fresh_read_it_has_no_share() {
+fn a_router_without_a_recent_read_has_no_share() {
     let start = Moment::now();
     let mut roster = reading(1, &[(1, Stage::Member)], start);
     assert!(roster.share(start + SHARE_LEASE).is_some());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_that_is_gone_counts_until_it_has_no_share_for_certain() {
+fn a_gone_router_counts_until_it_certainly_has_no_share() {
     let start = Moment::now();
     let mut roster = reading(1, &[(1, Stage::Member), (2, Stage::Member)], start);
     roster.apply_read(vec![(addr(2), Some(record(Stage::Gone)))], false, start, start);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn one_that_is_taken_for_gone_joins_anew() {
+fn a_router_marked_as_gone_joins_again() {
     let start = Moment::now();
     let mut roster = reading(1, &[(1, Stage::Member), (2, Stage::Member)], start);
     roster.apply_read(vec![(addr(1), Some(record(Stage::Gone)))], false, start, start);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn one_that_is_not_there_after_the_store_came_back_from_a_copy_joins_anew() {
+fn a_router_missing_from_a_restored_store_joins_again() {
     let start = Moment::now();
     let mut roster = reading(1, &[(1, Stage::Member), (2, Stage::Member)], start);
     roster.apply_read(vec![(addr(2), Some(record(Stage::Member)))], true, start, start);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_first_one_takes_a_silent_one_for_gone_and_drops_its_record_later() {
+fn the_first_live_router_marks_a_silent_one_as_gone_and_deletes_its_record_later() {
     let start = Moment::now();
     let mut first =
         reading(1, &[(1, Stage::Member), (2, Stage::Member), (3, Stage::Member)], start);
@@ -113,10 +113,10 @@
     let mut gone = None;
     while gone.is_none() && now.since(start) < STALE_AFTER * 2 {
         now = now + secs(2);
-        let fresh =
+        let renewed =
             vec![(addr(1), Some(record(Stage::Member))), (addr(2), Some(record(Stage::Member)))];
         for roster in [&mut first, &mut second] {
-            roster.apply_read(fresh.clone(), false, now, now);
+            roster.apply_read(renewed.clone(), false, now, now);
         }
         while let Some(write) = first.next_write(now) {
             first.confirm_write(&write, now);
@@ -128,7 +128,7 @@
             assert_eq!(
                 write,
                 RosterWrite::Put(addr(2), record(Stage::Member)),
-                "one cleans up for all"
+                "only the first live router cleans up"
             );
             second.confirm_write(&write, now);
         }
@@ -145,12 +145,12 @@
 }
 
 #[test]
-fn nobody_is_taken_for_gone_because_the_store_was_away() {
+fn no_router_is_marked_as_gone_because_the_store_was_unreachable() {
     let start = Moment::now();
     let mut roster = reading(1, &[(1, Stage::Member), (2, Stage::Member)], start);
     let later = start + STALE_AFTER * 3;
     roster.apply_read(Vec::new(), false, later, later);
-    let write = roster.next_write(later).expect("its own record");
+    let write = roster.next_write(later).expect("a write of its own record");
     roster.confirm_write(&write, later);
     assert_eq!(write, RosterWrite::Put(addr(1), record(Stage::Member)));
     assert_eq!(roster.next_write(later), None);
