--- a/components/quota/tests/limits/callers.rs
+++ b/components/quota/tests/limits/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a world: whom they reach, and whether they are let in.
+//! The simulated callers: which routers they reach and whether their requests are admitted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,15 +6,17 @@
 use quota::{Bucket, BucketSpec, Lenders, has_time_for_wave, likely_exhausted};
 use rand::RngExt;
 
-use super::world::{BOUNDS, DOMAINS, Faults, KILLED, Press, STEP, Sharing, World};
+use super::world::{BOUNDS, DOMAINS, Faults, KILL_ALL_AFTER_MS, STEP_MS, Sharing, Traffic, World};
 
-/// A caller's request counts this much on average; one in twenty counts five times as much.
-const COST: f64 = 1_000.0;
+/// The tokens of 19 in 20 requests; every 20th request on average costs five times as many.
+const REQUEST_COST: f64 = 1_000.0;
 
 impl World {
-    pub(super) fn callers(&mut self, joined: u64) {
+    /// Simulates the requests that arrive within one step. `joined` is the time from which refused requests are counted.
+    pub(super) fn step_callers(&mut self, joined: u64) {
         #[allow(clippy::cast_precision_loss, reason = "small")]
-        let mean = self.plan.rate * self.plan.load * STEP as f64 / 1_000.0 / (COST * 1.2);
+        let mean =
+            self.plan.rate * self.plan.load * STEP_MS as f64 / 1_000.0 / (REQUEST_COST * 1.2);
         let mut left = mean;
         loop {
             // Arrivals of a Poisson process within the step.
@@ -22,35 +24,39 @@
             if left < 0.0 {
                 break;
             }
-            let cost = COST * if self.rng.random_bool(0.05) { 5.0 } else { 1.0 };
-            if let Some(at) = self.pick() {
-                let in_calm = self.plan.faults == Faults::None && self.now > joined;
-                let let_in = self.admit(at, cost);
-                if self.plan.faults == Faults::Killed && self.now > joined + KILLED {
-                    let half = usize::try_from((self.now - joined - KILLED) / 500).expect("few");
-                    self.since_killed.resize(self.since_killed.len().max(half + 1), (0, 0));
-                    self.since_killed[half].0 += 1;
-                    self.since_killed[half].1 += u32::from(let_in);
+            let cost = REQUEST_COST * if self.rng.random_bool(0.05) { 5.0 } else { 1.0 };
+            if let Some(at) = self.pick_router() {
+                let counted = self.plan.faults == Faults::None && self.now > joined;
+                let admitted = self.admit(at, cost);
+                if self.plan.faults == Faults::KillAll && self.now > joined + KILL_ALL_AFTER_MS {
+                    let half_second =
+                        usize::try_from((self.now - joined - KILL_ALL_AFTER_MS) / 500)
+                            .expect("few");
+                    self.admitted_since_kill
+                        .resize(self.admitted_since_kill.len().max(half_second + 1), (0, 0));
+                    self.admitted_since_kill[half_second].0 += 1;
+                    self.admitted_since_kill[half_second].1 += u32::from(admitted);
                 }
-                if in_calm {
+                if counted {
                     self.asked += 1;
-                    self.refused += u32::from(!let_in);
+                    self.refused += u32::from(!admitted);
                 }
             }
         }
     }
 
-    /// The router that a caller reaches: those that can't be reached get nobody.
-    fn pick(&mut self) -> Option<usize> {
-        let (now, press) = (self.now, self.plan.press);
-        let up = |at: &usize| self.routers[*at].alive && self.routers[*at].still <= now;
-        let all: Vec<usize> = (0..self.routers.len()).filter(up).collect();
-        let chosen: Vec<usize> = match press {
-            Press::All => all,
-            Press::Domain => all.into_iter().filter(|at| at % DOMAINS == 0).collect(),
-            Press::One => all.into_iter().take(1).collect(),
+    /// The router that a request reaches. Routers that are dead or suspended get no requests.
+    fn pick_router(&mut self) -> Option<usize> {
+        let (now, traffic) = (self.now, self.plan.traffic);
+        let is_up =
+            |at: &usize| self.routers[*at].alive && self.routers[*at].suspended_until <= now;
+        let all: Vec<usize> = (0..self.routers.len()).filter(is_up).collect();
+        let chosen: Vec<usize> = match traffic {
+            Traffic::AllRouters => all,
+            Traffic::OneDomain => all.into_iter().filter(|at| at % DOMAINS == 0).collect(),
+            Traffic::OneRouter => all.into_iter().take(1).collect(),
         };
-        // Callers are spread unevenly.
+        // Requests are spread unevenly over the routers.
         let skew = self.rng.random::<f64>().powf(1.3);
         #[allow(
             clippy::cast_possible_truncation,
@@ -64,11 +70,14 @@
 
     fn admit(&mut self, at: usize, cost: f64) -> bool {
         let own = self.take(at, cost);
-        self.routers[at].used = self.now;
+        self.routers[at].last_used = self.now;
         let mut missing = cost - own.map_or(0.0, |(taken, _)| taken.tokens);
-        let mut took = 0;
-        if missing > 0.0 && self.plan.sharing == Sharing::Lent && self.routers[at].dry <= self.now {
-            (missing, took) = self.borrow(at, missing);
+        let mut took_ms = 0;
+        if missing > 0.0
+            && self.plan.sharing == Sharing::Borrowing
+            && self.routers[at].borrowing_paused_until <= self.now
+        {
+            (missing, took_ms) = self.borrow(at, missing);
         }
         if missing > 0.0 {
             if let Some((taken, share)) = own {
@@ -80,7 +89,7 @@
             }
             return false;
         }
-        self.let_in(self.now + took, cost);
+        self.record_admitted(self.now + took_ms, cost);
         true
     }
 
@@ -88,18 +97,18 @@
         let moment = self.at(self.now);
         let router = &mut self.routers[at];
         let share = router.roster.share(moment)?;
-        let terms = self.terms.share(share.count);
+        let spec = self.spec.share(share.count);
         let bucket = match &mut router.bucket {
             Some((bucket, since)) if *since == share.since => bucket,
             place => &mut place.insert((Bucket::new(share.since), share.since)).0,
         };
-        Some((bucket.take(terms, most, moment), terms))
+        Some((bucket.take(spec, most, moment), spec))
     }
 
-    /// What is missing after others were asked, and how long that took.
+    /// Borrows from other routers. Returns the tokens that are still missing and how long the requests took, in ms.
     fn borrow(&mut self, at: usize, wanted: f64) -> (f64, u64) {
         let now = self.now;
-        if self.routers[at].no_peers > now {
+        if self.routers[at].peers_cut_until > now {
             return (wanted, 0);
         }
         let others: Vec<SocketAddr> =
@@ -107,18 +116,18 @@
         let mut rng = self.rng.clone();
         self.rng.random::<u64>();
         let Some(share) = self.routers[at].roster.share(self.at(now)) else { return (wanted, 0) };
-        let terms = self.terms.share(share.count);
-        let mut lenders = Lenders::new(others, wanted, terms, || rng.random());
-        let (mut missing, mut took, mut asked) = (wanted, 0, 0);
-        while missing > 0.0 && has_time_for_wave(Duration::from_millis(took)) {
+        let spec = self.spec.share(share.count);
+        let mut lenders = Lenders::new(others, wanted, spec, || rng.random());
+        let (mut missing, mut took_ms, mut asked) = (wanted, 0, 0);
+        while missing > 0.0 && has_time_for_wave(Duration::from_millis(took_ms)) {
             let wave = lenders.next_wave();
             if wave.is_empty() || likely_exhausted(asked, wanted, wanted - missing) {
                 break;
             }
             asked += wave.len();
-            // Its own bucket takes what is more.
+            // The borrower's own bucket holds any excess.
             #[allow(clippy::cast_precision_loss, reason = "few")]
-            let tokens = (missing + terms.capacity) / wave.len() as f64;
+            let tokens = (missing + spec.capacity) / wave.len() as f64;
             let mut longest = 0;
             for addr in wave {
                 self.messages += 1;
@@ -126,29 +135,30 @@
                     continue;
                 };
                 let other = &self.routers[lender];
-                let reached = other.alive && other.still <= now && other.no_peers <= now;
+                let reached =
+                    other.alive && other.suspended_until <= now && other.peers_cut_until <= now;
                 longest = longest.max(if reached { self.rng.random_range(2..140) } else { 150 });
-                let fair = self.routers[lender].fair(now, tokens, self.terms, self.start);
-                if reached && let Some((taken, _)) = self.take(lender, fair) {
+                let lent = self.routers[lender].lendable_tokens(now, tokens, self.spec, self.start);
+                if reached && let Some((taken, _)) = self.take(lender, lent) {
                     missing -= taken.tokens;
                 }
             }
-            took += longest;
+            took_ms += longest;
         }
         let moment = self.at(now);
         if missing < 0.0
             && let Some((bucket, _)) = &mut self.routers[at].bucket
         {
-            bucket.add(terms, -missing, moment);
+            bucket.add(spec, -missing, moment);
         }
         if likely_exhausted(asked, wanted, wanted - missing) {
-            self.routers[at].dry = now + 500;
+            self.routers[at].borrowing_paused_until = now + 500;
         }
-        (missing.max(0.0), took)
+        (missing.max(0.0), took_ms)
     }
 
-    fn let_in(&mut self, at: u64, cost: f64) {
-        // Entries are nearly in order: what is let in a little later is put in its place.
+    fn record_admitted(&mut self, at: u64, cost: f64) {
+        // Requests are admitted nearly in order: one that had to borrow tokens is inserted at its later time.
         let place = self.admitted.iter().rposition(|(other, _)| *other <= at).map_or(0, |p| p + 1);
         self.admitted.insert(place, (at, cost));
         self.sum += cost;
--- a/components/quota/tests/limits/world.rs
+++ b/components/quota/tests/limits/world.rs
@@ -1,4 +1,4 @@
-//! A store, routers and callers of one workspace, in steps of simulated time.
+//! Simulates a store, routers and the callers of one workspace, in steps of simulated time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,48 +11,52 @@
 use rand_chacha::ChaCha8Rng;
 use units::Domain;
 
-pub(super) const STEP: u64 = 20;
-/// Routers read again after this time.
-const READ: u64 = 2_000;
-/// They try again after this time when the store does not answer.
-const RETRY: u64 = 400;
-/// The longest that a call to the store takes.
-const SLOW: u64 = 1_500;
+/// The simulated time of one step.
+pub(super) const STEP_MS: u64 = 20;
+/// The interval between a router's reads of the roster.
+const READ_INTERVAL_MS: u64 = 2_000;
+/// The delay after which a router repeats a call that the store did not answer.
+const RETRY_DELAY_MS: u64 = 400;
+/// The longest delay of a message to or from the store.
+const MAX_DELAY_MS: u64 = 1_500;
+/// The number of failure domains.
 pub(super) const DOMAINS: usize = 4;
-/// All are killed so long after they have joined.
-pub(super) const KILLED: u64 = 10_000;
+/// With `Faults::KillAll`, the time between the end of joining and the kill.
+pub(super) const KILL_ALL_AFTER_MS: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Sharing {
-    /// Each router has its own share only.
-    Equal,
-    /// Routers lend each other tokens.
-    Lent,
+    /// Each router uses its own share only.
+    EqualShares,
+    /// Routers borrow tokens from each other.
+    Borrowing,
 }
 
-/// Through which routers requests come.
+/// The routers that requests arrive at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Press {
-    All,
-    Domain,
-    One,
+pub(crate) enum Traffic {
+    AllRouters,
+    OneDomain,
+    OneRouter,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Faults {
     None,
-    /// All routers are killed once, and are back soon.
-    Killed,
+    /// All routers are killed once and restart 500 ms later.
+    KillAll,
+    /// Every kind of fault, at random times.
     All,
 }
 
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) routers: usize,
+    /// The limit in tokens per second.
     pub(crate) rate: f64,
-    /// Tokens that are asked for, as a part of the limit.
+    /// The tokens that callers request, as a fraction of the limit.
     pub(crate) load: f64,
-    pub(crate) press: Press,
+    pub(crate) traffic: Traffic,
     pub(crate) sharing: Sharing,
     pub(crate) faults: Faults,
     pub(crate) seconds: u64,
@@ -64,8 +68,8 @@
             routers: 21,
             rate: 20_000.0,
             load: 0.55,
-            press: Press::All,
-            sharing: Sharing::Lent,
+            traffic: Traffic::AllRouters,
+            sharing: Sharing::Borrowing,
             faults: Faults::None,
             seconds: 60,
         }
@@ -73,31 +77,32 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Result {
-    /// The tokens of the worst window, as a part of what is allowed.
-    pub(crate) worst: f64,
-    /// The most that all shares were together at any moment.
-    pub(crate) shares: f64,
-    /// The part of the requests that were refused once all routers had joined.
-    pub(crate) refused: f64,
-    /// After all were killed: how long it took until most requests were let in.
-    pub(crate) served: Option<Duration>,
-    pub(crate) messages: f64,
-    pub(crate) calls: f64,
+pub(crate) struct Report {
+    /// The tokens admitted in the worst window, as a fraction of the allowed ones.
+    pub(crate) worst_window: f64,
+    /// The highest sum of all routers' shares at any moment.
+    pub(crate) max_shares: f64,
+    /// The fraction of the requests that were refused after all routers had joined.
+    pub(crate) refused_fraction: f64,
+    /// The time from the kill of all routers until most requests were admitted.
+    pub(crate) recovery_time: Option<Duration>,
+    /// Messages between routers per second.
+    pub(crate) messages_per_s: f64,
+    pub(crate) store_calls_per_s: f64,
 }
 
-/// A call to the store on its way.
+/// A call to the store in progress.
 #[derive(Debug)]
 enum Call {
-    /// A read: when it was sent, whether it reads all, what it brought, when that arrives.
+    /// A read: when it was sent, whether it returns all records, what it returns, and when the answer arrives.
     Read {
         sent: u64,
-        whole: bool,
-        news: Vec<(SocketAddr, Option<RouterRecord>)>,
+        complete: bool,
+        records: Vec<(SocketAddr, Option<RouterRecord>)>,
         next: usize,
         at: u64,
     },
-    /// A write, done already or to be done, and when its answer arrives, if it does.
+    /// A write that the store has done, does later or never does, and when its answer or the timeout arrives.
     Put { write: RosterWrite, at: u64, answered: bool },
 }
 
@@ -108,16 +113,18 @@
     pub(super) roster: Roster,
     pub(super) bucket: Option<(Bucket, Moment)>,
     pub(super) alive: bool,
-    back: Option<u64>,
-    pub(super) still: u64,
-    no_store: u64,
-    pub(super) no_peers: u64,
-    next: Option<usize>,
+    restart_at: Option<u64>,
+    pub(super) suspended_until: u64,
+    /// Until when the router can't reach the store.
+    store_cut_until: u64,
+    /// Until when the router can't reach the other routers, nor they it.
+    pub(super) peers_cut_until: u64,
+    next_offset: Option<usize>,
     call: Option<Call>,
-    idle: u64,
-    pub(super) dry: u64,
-    /// When a request of its own came last.
-    pub(super) used: u64,
+    next_read_at: u64,
+    pub(super) borrowing_paused_until: u64,
+    /// When the last request of the router's own callers arrived.
+    pub(super) last_used: u64,
 }
 
 pub(crate) struct World {
@@ -125,22 +132,25 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) start: Moment,
     pub(super) now: u64,
+    /// The records in the store, in the order in which they were written.
     log: Vec<(SocketAddr, Option<RouterRecord>)>,
-    /// Writes that the store does later than they were sent.
+    /// Writes that the store applies later than they were sent.
     late: Vec<(u64, RosterWrite)>,
     pub(super) routers: Vec<Router>,
-    /// What was let in: when, and how much.
+    /// The admitted requests of the newest window: when, and their tokens.
     pub(super) admitted: VecDeque<(u64, f64)>,
+    /// The tokens of `admitted`.
     pub(super) sum: f64,
+    /// The highest value of `sum`.
     pub(super) worst: f64,
-    shares: f64,
+    max_shares: f64,
     pub(super) asked: u32,
     pub(super) refused: u32,
-    /// Half a second each since all were killed: requests, and how many were let in.
-    pub(super) since_killed: Vec<(u32, u32)>,
+    /// For each half second since the kill of all routers: the number of requests, and of those admitted.
+    pub(super) admitted_since_kill: Vec<(u32, u32)>,
     pub(super) messages: u32,
     calls: u32,
-    pub(super) terms: BucketSpec,
+    pub(super) spec: BucketSpec,
     allowed: f64,
 }
 
@@ -148,13 +158,19 @@
     Bounds { window: Duration::from_secs(8), overshoot: 0.1, slack: 17_000.0 };
 
 impl Router {
-    /// What it lends of what is asked for.
-    pub(super) fn fair(&mut self, now: u64, most: f64, terms: BucketSpec, start: Moment) -> f64 {
+    /// The tokens that the router lends of the `most` that another one asks for.
+    pub(super) fn lendable_tokens(
+        &mut self,
+        now: u64,
+        most: f64,
+        spec: BucketSpec,
+        start: Moment,
+    ) -> f64 {
         let moment = start + Duration::from_millis(now);
         let Some(share) = self.roster.share(moment) else { return 0.0 };
         let Some((bucket, _)) = &mut self.bucket else { return most };
-        let level = bucket.level(terms.share(share.count), moment);
-        most.min(lendable(level, Duration::from_millis(now - self.used)))
+        let level = bucket.level(spec.share(share.count), moment);
+        most.min(lendable(level, Duration::from_millis(now - self.last_used)))
     }
 }
 
@@ -171,23 +187,23 @@
             admitted: VecDeque::new(),
             sum: 0.0,
             worst: 0.0,
-            shares: 0.0,
+            max_shares: 0.0,
             asked: 0,
             refused: 0,
-            since_killed: Vec::new(),
+            admitted_since_kill: Vec::new(),
             messages: 0,
             calls: 0,
-            terms: BucketSpec::new(limit, BOUNDS),
+            spec: BucketSpec::new(limit, BOUNDS),
             allowed: BOUNDS.allowed(limit),
             plan,
         };
         for _ in 0..world.plan.routers {
-            world.add();
+            world.add_router();
         }
         world
     }
 
-    fn add(&mut self) {
+    fn add_router(&mut self) {
         let number = u16::try_from(self.routers.len()).expect("few");
         let [high, low] = number.to_be_bytes();
         let addr = SocketAddr::from(([10, 0, high, low], 8_144));
@@ -199,15 +215,15 @@
             domain,
             bucket: None,
             alive: true,
-            back: None,
-            still: 0,
-            no_store: 0,
-            no_peers: 0,
-            next: None,
+            restart_at: None,
+            suspended_until: 0,
+            store_cut_until: 0,
+            peers_cut_until: 0,
+            next_offset: None,
             call: None,
-            idle: 0,
-            dry: 0,
-            used: 0,
+            next_read_at: 0,
+            borrowing_paused_until: 0,
+            last_used: 0,
         });
     }
 
@@ -215,59 +231,61 @@
         self.start + Duration::from_millis(millis)
     }
 
-    pub(crate) fn play(mut self) -> Result {
-        // All have joined by then; only later callers are counted as refused.
+    pub(crate) fn run(mut self) -> Report {
+        // All routers have joined by then; refused requests are counted only afterwards.
         let joined = 14_000;
         let end = joined + self.plan.seconds * 1_000;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             match self.plan.faults {
                 Faults::None => {}
-                Faults::Killed if self.now == joined + KILLED => {
+                Faults::KillAll if self.now == joined + KILL_ALL_AFTER_MS => {
                     (0..self.routers.len()).for_each(|at| self.kill(at, Some(self.now + 500)));
                 }
-                Faults::Killed => {}
-                Faults::All => self.harm(),
+                Faults::KillAll => {}
+                Faults::All => self.inject_fault(),
             }
-            self.store();
+            self.apply_late_writes();
             for at in 0..self.routers.len() {
-                self.turn(at);
+                self.step_router(at);
             }
-            self.shares = self.shares.max(self.all_shares());
-            self.callers(joined);
+            self.max_shares = self.max_shares.max(self.sum_of_shares());
+            self.step_callers(joined);
         }
         #[allow(clippy::cast_precision_loss, reason = "few")]
         let seconds = end as f64 / 1_000.0;
-        Result {
-            worst: self.worst / self.allowed,
-            shares: self.shares,
-            refused: f64::from(self.refused) / f64::from(self.asked.max(1)),
-            served: self.served(),
-            messages: f64::from(self.messages) / seconds,
-            calls: f64::from(self.calls) / seconds,
+        Report {
+            worst_window: self.worst / self.allowed,
+            max_shares: self.max_shares,
+            refused_fraction: f64::from(self.refused) / f64::from(self.asked.max(1)),
+            recovery_time: self.recovery_time(),
+            messages_per_s: f64::from(self.messages) / seconds,
+            store_calls_per_s: f64::from(self.calls) / seconds,
         }
     }
 
-    fn served(&self) -> Option<Duration> {
-        if std::env::var("LIMITS_REPORT").is_ok() && self.plan.faults == Faults::Killed {
-            println!("{:?}", &self.since_killed[..self.since_killed.len().min(24)]);
+    fn recovery_time(&self) -> Option<Duration> {
+        if std::env::var("LIMITS_REPORT").is_ok() && self.plan.faults == Faults::KillAll {
+            println!("{:?}", &self.admitted_since_kill[..self.admitted_since_kill.len().min(24)]);
         }
-        let most = |(asked, let_in): &(u32, u32)| *let_in * 2 > *asked && *asked > 0;
-        let half = u32::try_from(self.since_killed.iter().position(most)?).ok()?;
-        Some(Duration::from_millis(500) * half)
+        let most = |(asked, admitted): &(u32, u32)| *admitted * 2 > *asked && *asked > 0;
+        let half_seconds = u32::try_from(self.admitted_since_kill.iter().position(most)?).ok()?;
+        Some(Duration::from_millis(500) * half_seconds)
     }
 
-    /// What all routers that run have together.
-    fn all_shares(&self) -> f64 {
+    /// The sum of the shares of all running routers.
+    fn sum_of_shares(&self) -> f64 {
         let moment = self.at(self.now);
-        let run = self.routers.iter().filter(|router| router.alive && router.still <= self.now);
-        run.filter_map(|router| router.roster.share(moment))
+        let running =
+            self.routers.iter().filter(|router| router.alive && router.suspended_until <= self.now);
+        running
+            .filter_map(|router| router.roster.share(moment))
             .map(|share| 1.0 / f64::from(share.count))
             .sum()
     }
 
-    /// One fault in about 700 ms.
-    fn harm(&mut self) {
+    /// Injects a fault about every 700 ms.
+    fn inject_fault(&mut self) {
         if !self.rng.random_bool(0.03) {
             return;
         }
@@ -280,20 +298,20 @@
             }
             2 if self.routers.len() < 40 => {
                 self.kill(at, None);
-                self.add();
+                self.add_router();
             }
-            3 if self.routers.len() < 40 => self.add(),
-            4 => self.routers[at].still = until,
-            5 => self.routers[at].no_store = until,
-            6 => self.routers[at].no_peers = until,
+            3 if self.routers.len() < 40 => self.add_router(),
+            4 => self.routers[at].suspended_until = until,
+            5 => self.routers[at].store_cut_until = until,
+            6 => self.routers[at].peers_cut_until = until,
             7 if self.rng.random_bool(0.3) => {
-                // Half of them are cut off from the store at once, or all of them are killed.
+                // Cuts every second router off from the store at once, or kills all routers.
                 let all = self.rng.random_bool(0.3);
                 for at in 0..self.routers.len() {
                     if all {
                         self.kill(at, Some(self.now + 500));
                     } else if at % 2 == 0 {
-                        self.routers[at].no_store = until;
+                        self.routers[at].store_cut_until = until;
                     }
                 }
             }
@@ -301,14 +319,14 @@
         }
     }
 
-    fn kill(&mut self, at: usize, back: Option<u64>) {
+    fn kill(&mut self, at: usize, restart_at: Option<u64>) {
         let router = &mut self.routers[at];
         if router.alive {
-            (router.alive, router.back) = (false, back);
+            (router.alive, router.restart_at) = (false, restart_at);
         }
     }
 
-    fn store(&mut self) {
+    fn apply_late_writes(&mut self) {
         let now = self.now;
         let (due, late) =
             std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
@@ -326,24 +344,25 @@
         });
     }
 
-    /// A router's turn: it starts, takes the answer of a call, or makes one.
-    fn turn(&mut self, number: usize) {
+    /// Runs one step of a router: it starts, handles the answer to a call, or makes a call.
+    fn step_router(&mut self, number: usize) {
         let (now, moment) = (self.now, self.at(self.now));
         let router = &mut self.routers[number];
-        if router.back.is_some_and(|back| back <= now) {
-            (router.alive, router.back, router.bucket) = (true, None, None);
-            (router.call, router.next) = (None, None);
+        if router.restart_at.is_some_and(|restart_at| restart_at <= now) {
+            (router.alive, router.restart_at, router.bucket) = (true, None, None);
+            (router.call, router.next_offset) = (None, None);
             router.roster = Roster::new(router.addr, router.domain.clone());
         }
-        if !router.alive || router.still > now {
+        if !router.alive || router.suspended_until > now {
             return;
         }
         match router.call.take() {
-            Some(Call::Read { sent, whole, news, next, at }) if at <= now => {
-                router.next = Some(next);
+            Some(Call::Read { sent, complete, records, next, at }) if at <= now => {
+                router.next_offset = Some(next);
                 let sent = self.start + Duration::from_millis(sent);
-                router.roster.apply_read(news, whole, sent, moment);
-                router.idle = now + if router.roster.share(moment).is_some() { READ } else { 300 };
+                router.roster.apply_read(records, complete, sent, moment);
+                router.next_read_at = now
+                    + if router.roster.share(moment).is_some() { READ_INTERVAL_MS } else { 300 };
                 self.write(number);
             }
             Some(Call::Put { write, at, answered }) if at <= now => {
@@ -351,11 +370,11 @@
                     router.roster.confirm_write(&write, moment);
                     self.write(number);
                 } else {
-                    router.idle = now + RETRY;
+                    router.next_read_at = now + RETRY_DELAY_MS;
                 }
             }
             Some(call) => router.call = Some(call),
-            None if router.idle <= now => self.read(number),
+            None if router.next_read_at <= now => self.read(number),
             None => {}
         }
     }
@@ -363,28 +382,28 @@
     fn read(&mut self, at: usize) {
         self.calls += 1;
         let router = &mut self.routers[at];
-        if router.no_store > self.now {
-            router.idle = self.now + RETRY;
+        if router.store_cut_until > self.now {
+            router.next_read_at = self.now + RETRY_DELAY_MS;
             return;
         }
         let (there, back) = (self.delay(), self.delay());
-        // What the store has when the read arrives is what it has now: the way there is counted before.
+        // The read arrives at the store now and was sent earlier, so that it returns the current records.
         let router = &mut self.routers[at];
-        let (whole, news) = match router.next {
+        let (complete, records) = match router.next_offset {
             Some(next) => (false, self.log[next..].to_vec()),
             None => (true, newest(&self.log)),
         };
         let sent = self.now.saturating_sub(there);
         let (next, at) = (self.log.len(), self.now + back);
-        router.call = Some(Call::Read { sent, whole, news, next, at });
+        router.call = Some(Call::Read { sent, complete, records, next, at });
     }
 
-    /// Writes what is to be written, if anything; some answers are lost, and some writes are done much later.
+    /// Sends the next write, if one is due. Some answers are lost, and some writes are applied much later.
     fn write(&mut self, at: usize) {
         let moment = self.at(self.now);
         let Some(write) = self.routers[at].roster.next_write(moment) else { return };
         self.calls += 1;
-        let cut = self.routers[at].no_store > self.now;
+        let cut = self.routers[at].store_cut_until > self.now;
         let lost = self.plan.faults == Faults::All && self.rng.random_bool(0.1);
         if !cut && lost && self.rng.random_bool(0.5) {
             let late = self.now + self.rng.random_range(100..6_000);
@@ -397,10 +416,11 @@
     }
 
     fn delay(&mut self) -> u64 {
-        if self.rng.random_bool(0.05) { self.rng.random_range(4..SLOW) } else { 4 }
+        if self.rng.random_bool(0.05) { self.rng.random_range(4..MAX_DELAY_MS) } else { 4 }
     }
 }
 
+/// The newest record of each key.
 fn newest(log: &[(SocketAddr, Option<RouterRecord>)]) -> Vec<(SocketAddr, Option<RouterRecord>)> {
     let mut all: std::collections::BTreeMap<SocketAddr, Option<RouterRecord>> = Default::default();
     for (addr, record) in log {
