--- a/components/quota/src/roster.rs
+++ b/components/quota/src/roster.rs
@@ -138,9 +138,7 @@
         }
         for (addr, record) in records {
             match record {
-                Some(record) if record.stage != Stage::Gone => {
-                    self.apply_record(addr, record, now);
-                }
+                Some(record) if record.stage != Stage::Gone => self.apply_record(addr, record, now),
                 Some(record) => {
                     // A router that has just started does not know since when the other one has been gone.
                     let entry = self.entries.entry(addr);
--- a/components/quota/tests/limits.rs
+++ b/components/quota/tests/limits.rs
@@ -1,5 +1,5 @@
 //! Simulates routers that enforce the limit of one workspace. Routers are killed, replaced, added, suspended and cut off from the
-//! store or from each other, while the workspace sends more than its share through all routers, one failure domain or one router.
+//! store or from each other, while the workspace sends its requests through all routers, one failure domain or one router.
 //!
 //! `LIMITS_SEEDS=500 LIMITS_REPORT=1 cargo test -p quota --test limits -- --nocapture` runs more seeds and prints figures.
 
