--- a/components/quota/src/roster.rs
+++ b/components/quota/src/roster.rs
@@ -84,7 +84,7 @@
 pub enum RosterWrite {
     /// Writes the record of a router.
     Put(SocketAddr, RouterRecord),
-    /// Deletes the record of a router that has been gone for [`GONE_RETENTION`].
+    /// Deletes the record of a router that has been gone for a minute.
     Delete(SocketAddr),
 }
 
