--- a/components/loader/src/steward.rs
+++ b/components/loader/src/steward.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{State, Verdict};
+use control::{EndpointState, EnsureOutcome};
 use events::{Dependency, Event, emit, millis};
 use fleet::Tier;
 use platform::{Operation, fetch_report};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
-use units::{EndpointId, Life, Revision, StorePosition};
+use units::{EndpointId, EndpointIncarnation, Revision, StorePosition};
 use web::Client;
 
 use crate::desk::Command;
@@ -68,10 +68,10 @@
     /// What it last said to wait for a lane for.
     wished: Option<Wish>,
     commands: mpsc::Receiver<Command>,
-    state: watch::Sender<State>,
+    state: watch::Sender<EndpointState>,
     endpoint: Option<EndpointId>,
     /// The life of the endpoint that the last report was about.
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     /// Whether the endpoint has said in this life that it leaves; no later report takes that back, since one may be older than
     /// it is read.
     leaving: bool,
@@ -93,7 +93,7 @@
         token: Token,
         lane: Lane,
         commands: mpsc::Receiver<Command>,
-        state: watch::Sender<State>,
+        state: watch::Sender<EndpointState>,
     ) -> Self {
         Self {
             instance,
@@ -136,7 +136,7 @@
             tokio::select! {
                 command = self.commands.recv() => match command {
                     Some(command) => self.take(command),
-                    None => return,
+                    None => return
                 },
                 () = tokio::time::sleep_until(next) => {}
                 Ok(()) = self.lane.granted.changed() => {}
@@ -183,7 +183,7 @@
                 self.adopt(&poll.endpoint);
                 let heard = Heard { at: now, wait: poll.wait };
                 self.ledger.routers.insert(poll.router.clone(), heard);
-                if Life::differ(self.life, poll.life) {
+                if EndpointIncarnation::differ(self.life, poll.incarnation) {
                     // What it says is about requests that ended with the endpoint's life.
                     return;
                 }
@@ -210,7 +210,7 @@
                 let fresh = self.reached.is_some_and(|reached| reached.elapsed() < FRESH);
                 if self.ledger.holds(&ensure.target) {
                     if fresh {
-                        let _ = reply.send(Verdict::Ready);
+                        let _ = reply.send(EnsureOutcome::Ready);
                         return;
                     }
                     // The router may have found it missing: the endpoint is asked before it is promised.
@@ -259,7 +259,7 @@
                 }
                 self.lost = false;
                 self.reached = Some(Instant::now());
-                if Life::differ(self.life, report.incarnation) {
+                if EndpointIncarnation::differ(self.life, report.incarnation) {
                     self.restarted();
                 }
                 self.life = report.incarnation.or(self.life);
@@ -310,12 +310,12 @@
             ledger.wants.keys().filter(|id| ledger.holds(id)).cloned().collect();
         for id in ready {
             self.ledger.touch(&id.model, now);
-            self.answer(&id, Verdict::Ready);
+            self.answer(&id, EnsureOutcome::Ready);
         }
         self.ledger.wants.retain(|_, want| want.due > now);
     }
 
-    fn answer(&mut self, id: &ModelId, verdict: Verdict) {
+    fn answer(&mut self, id: &ModelId, verdict: EnsureOutcome) {
         let Some(want) = self.ledger.wants.remove(id) else { return };
         for reply in want.replies {
             let _ = reply.send(verdict);
@@ -341,7 +341,7 @@
                 true
             }
             Next::Refuse(id, after) => {
-                self.answer(&id, Verdict::Refused(after));
+                self.answer(&id, EnsureOutcome::Refused(after));
                 true
             }
             Next::Order(work, target) => {
--- a/components/loader/src/steward/orders.rs
+++ b/components/loader/src/steward/orders.rs
@@ -1,8 +1,8 @@
 //! The orders that a steward gives, and what becomes of them.
 
 use catalog::ModelId;
-use control::Verdict;
-use events::{Event, Given, emit, millis};
+use control::EnsureOutcome;
+use events::{Event, OrderOutcome, emit, millis};
 use fleet::Tier;
 use platform::{Fence, Operation, Order, OrderReply, send_order};
 use tokio::time::Instant;
@@ -30,13 +30,13 @@
             outcome
         });
         let given = match &outcome {
-            Ok(OrderReply::Accepted) => Given::Accepted,
-            Ok(OrderReply::AlreadyDone) => Given::Done,
-            Ok(OrderReply::Busy) => Given::Busy,
-            Ok(OrderReply::Fenced) => Given::Fenced,
-            Ok(OrderReply::OtherInstance(_)) => Given::Other,
-            Ok(OrderReply::Refused(_)) => Given::Refused,
-            Err(_) => Given::Unknown,
+            Ok(OrderReply::Accepted) => OrderOutcome::Accepted,
+            Ok(OrderReply::AlreadyDone) => OrderOutcome::Done,
+            Ok(OrderReply::Busy) => OrderOutcome::Busy,
+            Ok(OrderReply::Fenced) => OrderOutcome::Fenced,
+            Ok(OrderReply::OtherInstance(_)) => OrderOutcome::Other,
+            Ok(OrderReply::Refused(_)) => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unknown,
         };
         emit(&Event::Order {
             endpoint: endpoint.as_str(),
@@ -61,7 +61,7 @@
             }
             Ok(OrderReply::Refused(_)) => {
                 self.pending = None;
-                self.answer(&target, Verdict::Refused(CALM));
+                self.answer(&target, EnsureOutcome::Refused(CALM));
             }
             // The report tells whether it was carried out; an order that comes late finds another sequence.
             Ok(OrderReply::Busy) | Err(_) => {
@@ -105,7 +105,7 @@
             None => copies.map_or(Tier::Store, |copies| copies.tier(&target.model)),
         };
         let expect = match work {
-            Operation::Load => spec.map_or(EAGER, |spec| tier.load(spec)),
+            Operation::Load => spec.map_or(EAGER, |spec| tier.load_time(spec)),
             Operation::Unload => EAGER,
         };
         Pending { work, target: target.clone(), tier, since: Instant::now(), expect }
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use admission::{Beside, Lanes};
+use admission::{ConcurrentLoads, LoadConcurrency};
 use catalog::Engine;
 use fleet::Holdings;
 use tokio::time::Instant;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ColdLoad {
     since: Instant,
-    beside: Beside,
+    beside: ConcurrentLoads,
 }
 
 /// All of them.
@@ -25,12 +25,12 @@
 pub(crate) struct ColdLoads {
     loads: HashMap<(EndpointId, ModelName), ColdLoad>,
     asked: HashMap<(EndpointId, ModelName), Instant>,
-    lanes: Lanes,
+    lanes: LoadConcurrency,
 }
 
 impl ColdLoads {
     /// Learns from what an endpoint loads now how many loads the weight store carries at once.
-    pub(crate) fn learn(
+    pub(crate) fn update(
         &mut self,
         id: &EndpointId,
         holdings: &Holdings,
@@ -50,24 +50,24 @@
             let Some(load) = self.loads.remove(&key) else { continue };
             let spec = engine.and_then(|engine| engine.model(&key.1));
             if let Some(spec) = spec.filter(|_| holdings.holds(&key.1)) {
-                self.lanes.learn(now - load.since, spec.cold, load.beside);
+                self.lanes.learn(now - load.since, spec.store_load, load.beside);
             }
         }
         if let Some(loading) = current {
             let key = (id.clone(), loading.model.clone());
             self.asked.remove(&key);
             let count = u32::try_from(self.loads.len() + 1).unwrap_or(u32::MAX);
-            let load = ColdLoad { since: now, beside: Beside::all(count) };
+            let load = ColdLoad { since: now, beside: ConcurrentLoads::steady(count) };
             self.loads.entry(key).or_insert(load);
         }
         let count = u32::try_from(self.loads.len()).unwrap_or(u32::MAX);
         for load in self.loads.values_mut() {
-            load.beside.see(count);
+            load.beside.record(count);
         }
     }
 
     /// A loader is asked for a model that comes from the weight store.
-    pub(crate) fn ask(&mut self, id: &EndpointId, model: &ModelName, now: Instant) {
+    pub(crate) fn add_request(&mut self, id: &EndpointId, model: &ModelName, now: Instant) {
         self.asked.retain(|_, at| now - *at < ASKED);
         let key = (id.clone(), model.clone());
         if !self.loads.contains_key(&key) {
@@ -76,24 +76,24 @@
     }
 
     /// A loader has answered for a model.
-    pub(crate) fn answered(&mut self, id: &EndpointId, model: &ModelName) {
+    pub(crate) fn remove_request(&mut self, id: &EndpointId, model: &ModelName) {
         self.asked.remove(&(id.clone(), model.clone()));
     }
 
     /// An endpoint is gone, and its loads with it.
-    pub(crate) fn forget(&mut self, id: &EndpointId) {
+    pub(crate) fn remove_endpoint(&mut self, id: &EndpointId) {
         self.loads.retain(|(endpoint, _), _| endpoint != id);
         self.asked.retain(|(endpoint, _), _| endpoint != id);
     }
 
     /// Lanes of the weight store that are free.
-    pub(crate) fn free(&self, now: Instant) -> usize {
+    pub(crate) fn available_permits(&self, now: Instant) -> usize {
         let asked = self.asked.values().filter(|at| now - **at < ASKED).count();
-        (self.lanes.count() as usize).saturating_sub(self.loads.len() + asked)
+        (self.lanes.limit() as usize).saturating_sub(self.loads.len() + asked)
     }
 
     /// Lanes of the weight store.
-    pub(crate) fn all(&self) -> usize {
-        self.lanes.count() as usize
+    pub(crate) fn permit_limit(&self) -> usize {
+        self.lanes.limit() as usize
     }
 }
--- a/components/router/src/ended.rs
+++ b/components/router/src/crash_check.rs
@@ -12,13 +12,13 @@
 
 use events::{Event, emit, millis};
 use platform::Health;
-use quarantine::{Death, Digest, Note};
+use quarantine::{Crash, Digest, QuarantineRecord};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use units::{EndpointId, Life};
+use units::{EndpointId, EndpointIncarnation};
 
-use crate::guard::stamp;
-use crate::pool::Pool;
+use crate::guard::wall_clock;
+use crate::pool::ConnectionPool;
 use crate::shared::Shared;
 
 /// An endpoint that runs answers within a few milliseconds, a busy one within tens.
@@ -60,15 +60,25 @@
 }
 
 /// Finds it out, unless that is going on.
-pub(crate) fn examine(shared: &Arc<Shared>, id: &EndpointId, life: Option<Life>, pool: &Arc<Pool>) {
-    if !pool.runs().examine() {
+pub(crate) fn start(
+    shared: &Arc<Shared>,
+    id: &EndpointId,
+    life: Option<EndpointIncarnation>,
+    pool: &Arc<ConnectionPool>,
+) {
+    if !pool.sent_requests().begin_examination() {
         return;
     }
-    shared.guard.examine(pool);
+    shared.guard.begin_examination(pool);
     tokio::spawn(follow(shared.clone(), id.clone(), life, pool.clone()));
 }
 
-async fn follow(shared: Arc<Shared>, id: EndpointId, life: Option<Life>, pool: Arc<Pool>) {
+async fn follow(
+    shared: Arc<Shared>,
+    id: EndpointId,
+    life: Option<EndpointIncarnation>,
+    pool: Arc<ConnectionPool>,
+) {
     let since = Instant::now();
     let (domain, among) = {
         let peers = shared.known.lock();
@@ -80,34 +90,34 @@
     };
     // Those that were cut with the first one are known a moment later.
     tokio::task::yield_now().await;
-    let at = stamp();
+    let at = wall_clock();
     let found = find(&shared, &id, life, &pool, since + GIVE_UP).await;
-    let runs: BTreeSet<Digest> = pool.runs().young(since);
+    let runs: BTreeSet<Digest> = pool.sent_requests().crash_candidates(since);
     let (ended, cause) = match found {
         Found::Ended(cause) => (true, cause),
         Found::Spared(cause) => (false, cause),
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
-        life: life.unwrap_or_default().0,
+        incarnation: life.unwrap_or_default().0,
         ended,
         cause,
         requests: runs.len(),
         after_ms: millis(since.elapsed()),
     });
-    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Death {
+    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Crash {
         endpoint: id,
-        life,
+        incarnation: life,
         domain,
-        among,
+        domain_endpoints: among,
         at,
-        runs,
+        requests: runs,
     });
     if ended {
-        return shared.guard.examined(&pool, death);
+        return shared.guard.finish_examination(&pool, death);
     }
-    pool.runs().acquit();
-    shared.guard.examined(&pool, None);
+    pool.sent_requests().clear_candidates();
+    shared.guard.finish_examination(&pool, None);
     if let Some(death) = death.filter(|_| found == Found::Spared(THERE)) {
         watch(&shared, death, &pool, since + TOLD).await;
     }
@@ -115,12 +125,12 @@
 
 /// Waits for the list to tell that an endpoint which answers has started again under its id: one without models does not say in which
 /// life it is. What it had is sent on meanwhile.
-async fn watch(shared: &Arc<Shared>, death: Death, pool: &Arc<Pool>, until: Instant) {
+async fn watch(shared: &Arc<Shared>, death: Crash, pool: &Arc<ConnectionPool>, until: Instant) {
     while Instant::now() < until {
         tokio::time::sleep(LONGEST).await;
         match known(shared, &death.endpoint, pool) {
             None => {}
-            Some(Found::Ended(_)) => return shared.guard.tell(Note::Death(death)),
+            Some(Found::Ended(_)) => return shared.guard.record(QuarantineRecord::Crash(death)),
             Some(Found::Spared(_)) => return,
         }
     }
@@ -129,8 +139,8 @@
 async fn find(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
-    pool: &Arc<Pool>,
+    life: Option<EndpointIncarnation>,
+    pool: &Arc<ConnectionPool>,
     until: Instant,
 ) -> Found {
     let mut refused = 0;
@@ -157,11 +167,11 @@
 }
 
 /// What the list and the endpoint's loader say.
-fn known(shared: &Shared, id: &EndpointId, pool: &Arc<Pool>) -> Option<Found> {
+fn known(shared: &Shared, id: &EndpointId, pool: &Arc<ConnectionPool>) -> Option<Found> {
     let peers = shared.known.lock();
     match peers.map.get(id) {
         Some(peer) if Arc::ptr_eq(&peer.pool, pool) => {
-            (!peer.stays()).then_some(Found::Spared("it was about to leave"))
+            (!peer.accepts_work()).then_some(Found::Spared("it was about to leave"))
         }
         Some(_) => Some(Found::Ended("it has started again")),
         None => {
@@ -176,7 +186,12 @@
 }
 
 /// Asks at its address.
-async fn ask(shared: &Shared, id: &EndpointId, life: Option<Life>, addr: SocketAddr) -> Answer {
+async fn ask(
+    shared: &Shared,
+    id: &EndpointId,
+    life: Option<EndpointIncarnation>,
+    addr: SocketAddr,
+) -> Answer {
     match tokio::time::timeout(PATIENCE, TcpStream::connect(addr)).await {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Answer::Refused,
         Ok(Err(_)) | Err(_) => return Answer::None,
@@ -186,7 +201,7 @@
         shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
     if askable {
         return match platform::fetch_report(&shared.client, addr, PATIENCE).await {
-            Ok(report) if Life::differ(report.incarnation, life) => Answer::Other,
+            Ok(report) if EndpointIncarnation::differ(report.incarnation, life) => Answer::Other,
             Ok(_) => Answer::Same,
             Err(error) => {
                 log::debug!("router: {id} did not tell whether it is there: {error}");
@@ -194,7 +209,7 @@
             }
         };
     }
-    match shared.health(id, PATIENCE).await {
+    match shared.check_health(id, PATIENCE).await {
         Some(Health::OtherInstance) => Answer::Other,
         // It may have started again under its id; the list tells then.
         Some(Health::Healthy | Health::Overloaded | Health::Unhealthy) => Answer::Same,
--- a/components/router/src/ledger.rs
+++ b/components/router/src/crash_records.rs
@@ -3,17 +3,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control::{Kept, LetGo};
+use control::{KeyedRecord, ReleaseRequest};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
 use platform::{Follower, PutOutcome, Store, StoreError, Topic, Update};
-use quarantine::{Digest, Note, Stamp, Table, Trial};
+use quarantine::{CrashTable, Digest, QuarantineRecord, Trial, UnixMillis};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use units::StorePosition;
 use web::Body;
 
-use crate::guard::{Pass, stamp};
+use crate::guard::{SendPermit, wall_clock};
 use crate::shared::Shared;
 
 /// How long a read waits for a record while no endpoint has ended of late: each call is paid for.
@@ -40,20 +40,20 @@
     let mut away: Option<Instant> = None;
     loop {
         let begun = Instant::now();
-        let wait = if shared.guard.alert() { ALERT } else { CALM };
+        let wait = if shared.guard.recent_crash() { ALERT } else { CALM };
         let next = tokio::select! {
             next = follower.next(if away.is_some() { Duration::ZERO } else { wait }) => next,
             // An endpoint may have ended: what others know of it may be waiting behind a silent connection.
-            () = shared.guard.alarm.notified(), if wait == CALM => continue,
+            () = shared.guard.possible_crash.notified(), if wait == CALM => continue
         };
         match next {
             Ok(batch) => {
-                events::reached(Dependency::Ends);
+                events::record_reached(Dependency::Ends);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.position));
+                shared.crash_records_position.send_replace(Some(batch.position));
                 let empty = batch.updates.is_empty() && !batch.complete;
                 if batch.restored {
                     write_again(&shared, &batch.updates);
@@ -66,7 +66,7 @@
             }
             Err(error) => {
                 lost(&mut away, &error);
-                shared.ends_read.send_replace(None);
+                shared.crash_records_position.send_replace(None);
                 exchange(&shared).await;
                 tokio::time::sleep(RETRY).await;
             }
@@ -79,10 +79,10 @@
 fn write_again(shared: &Arc<Shared>, news: &[Update]) {
     let there = |key: &String| {
         news.iter().any(
-            |news| matches!(news, Update::Record(other, value) if other == key && !value.is_empty()),
+            |news| matches!(news, Update::Record(other, value) if other == key && !value.is_empty())
         )
     };
-    let missing: Vec<Kept> =
+    let missing: Vec<KeyedRecord> =
         shared.guard.recent().into_iter().filter(|kept| !there(&kept.key)).collect();
     if missing.is_empty() {
         return;
@@ -97,7 +97,7 @@
             written.iter().any(|news| matches!(news, Update::Record(other, _) if other == key))
         };
         for kept in missing.into_iter().filter(|kept| !there(&kept.key)) {
-            shared.guard.write(kept);
+            shared.guard.queue_write(kept);
         }
     });
 }
@@ -105,7 +105,7 @@
 /// Takes records; returns the keys of those that are too old to count.
 fn take(shared: &Shared, news: Vec<Update>) -> Vec<String> {
     let (mut all, mut stale) = (Vec::new(), Vec::new());
-    let now = stamp();
+    let now = wall_clock();
     for news in news {
         let Update::Record(key, value) = news else { continue };
         // One that was dropped is too old to count.
@@ -113,15 +113,15 @@
             continue;
         }
         match serde_json::from_slice(&value) {
-            Ok(note) if Table::stale(&note, now) => stale.push(key),
-            Ok(note) => all.push(Kept { key, note }),
+            Ok(note) if CrashTable::is_expired(&note, now) => stale.push(key),
+            Ok(note) => all.push(KeyedRecord { key, record: note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be read: {error}");
                 emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
             }
         }
     }
-    shared.guard.take(&all);
+    shared.guard.apply(&all);
     stale
 }
 
@@ -147,12 +147,12 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     store: Store,
-    mut records: mpsc::UnboundedReceiver<Kept>,
+    mut records: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(kept) = records.recv().await {
-        let value = serde_json::to_vec(&kept.note).unwrap_or_default();
+        let value = serde_json::to_vec(&kept.record).unwrap_or_default();
         while let Err(error) = store.put(Topic::CrashRecords, &kept.key, &value, None).await {
-            if error.is_permanent() || Table::stale(&kept.note, stamp()) {
+            if error.is_permanent() || CrashTable::is_expired(&kept.record, wall_clock()) {
                 // What the store will never take must not keep back what comes after it; others may still be told.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
@@ -170,11 +170,11 @@
     let known = shared.guard.recent();
     let asked = shared.other_routers().into_iter().map(|router| {
         let (client, known) = (shared.client.clone(), known.clone());
-        async move { control::exchange_ends(&client, router, &known, PATIENCE).await }
+        async move { control::exchange_crash_records(&client, router, &known, PATIENCE).await }
     });
     for told in futures_util::future::join_all(asked).await {
         match told {
-            Ok(told) => drop(shared.guard.take(&told)),
+            Ok(told) => drop(shared.guard.apply(&told)),
             Err(error) => {
                 log::debug!("router: another one told nothing of ended endpoints: {error}")
             }
@@ -190,11 +190,11 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<Vec<Kept>>(&bytes) {
+    match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(told) => {
-            for kept in shared.guard.take(&told) {
+            for kept in shared.guard.apply(&told) {
                 // The other one may not reach the store.
-                shared.guard.write(kept);
+                shared.guard.queue_write(kept);
             }
             web::json(StatusCode::OK, &shared.guard.recent())
         }
@@ -210,11 +210,11 @@
     let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<LetGo>(&bytes) {
-        Ok(LetGo { digest }) if shared.guard.release(&digest) => {
-            web::json(StatusCode::OK, &LetGo { digest })
+    match serde_json::from_slice::<ReleaseRequest>(&bytes) {
+        Ok(ReleaseRequest { digest }) if shared.guard.release(&digest) => {
+            web::json(StatusCode::OK, &ReleaseRequest { digest })
         }
-        Ok(LetGo { digest }) => web::text(
+        Ok(ReleaseRequest { digest }) => web::text(
             StatusCode::NOT_FOUND,
             format!("{digest} is no suspect here; `hyssopctl suspects` lists them\n"),
         ),
@@ -223,10 +223,14 @@
 }
 
 /// Agrees with all routers that this one tries a suspect now: only one can write right behind what it has read.
-pub(crate) async fn claim(shared: &Arc<Shared>, digest: &Digest, number: u32) -> Option<Pass> {
-    let read: Option<StorePosition> = *shared.ends_read.borrow();
-    let at: Stamp = stamp();
-    let note = Note::Trial(Trial { digest: *digest, number, at });
+pub(crate) async fn claim_trial(
+    shared: &Arc<Shared>,
+    digest: &Digest,
+    number: u32,
+) -> Option<SendPermit> {
+    let read: Option<StorePosition> = *shared.crash_records_position.borrow();
+    let at: UnixMillis = wall_clock();
+    let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
     match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
@@ -237,6 +241,6 @@
             return None;
         }
     }
-    shared.guard.take(&[Kept { key, note }]);
-    shared.guard.try_once(digest)
+    shared.guard.apply(&[KeyedRecord { key, record: note }]);
+    shared.guard.trial_permit(digest)
 }
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -34,7 +34,7 @@
     let mut pause = PAUSE;
     // An entry that was back and is missing once more has a task of its own.
     while shared.known.missing_until(&id) == Some(until) {
-        let health = shared.health(&id, PATIENCE).await;
+        let health = shared.check_health(&id, PATIENCE).await;
         let next = match health {
             Some(Health::Healthy) => AGAIN,
             // Whether a full one is leaving is not known; it could run nothing more anyway.
@@ -42,16 +42,18 @@
                 pause *= 2;
                 pause / 2
             }
-            Some(Health::Unhealthy) => return shared.known.give_up(&id, "it says that it leaves"),
+            Some(Health::Unhealthy) => {
+                return shared.known.remove_missing(&id, "it says that it leaves");
+            }
             Some(Health::OtherInstance) => {
-                return shared.known.give_up(&id, "another endpoint has its address");
+                return shared.known.remove_missing(&id, "another endpoint has its address");
             }
         };
-        shared.known.note_silence(&id, health != Some(Health::Healthy));
+        shared.known.set_silent(&id, health != Some(Health::Healthy));
         let next = Instant::now() + next;
         tokio::time::sleep_until(next.min(until)).await;
         if next >= until {
-            shared.known.give_up(&id, "its entry did not come back");
+            shared.known.remove_missing(&id, "its entry did not come back");
         }
     }
 }
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes records of the roster that a read which was sent then brought.
-    pub(crate) fn read(
+    pub(crate) fn apply_roster_read(
         &self,
         news: Vec<(SocketAddr, Option<RouterRecord>)>,
         whole: bool,
@@ -116,12 +116,12 @@
     }
 
     /// What is to be written to the roster.
-    pub(crate) fn next_write(&self) -> Option<RosterWrite> {
+    pub(crate) fn next_roster_write(&self) -> Option<RosterWrite> {
         self.roster().next_write(Moment::now())
     }
 
     /// Notes that it is written.
-    pub(crate) fn wrote(&self, write: &RosterWrite) {
+    pub(crate) fn confirm_roster_write(&self, write: &RosterWrite) {
         self.roster().confirm_write(write, Moment::now());
     }
 
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -43,7 +43,7 @@
         waits = false;
         match turn {
             Ok(()) => {
-                events::reached(Dependency::Roster);
+                events::record_reached(Dependency::Roster);
                 if let Some(since) = away.take() {
                     let (dependency, after_ms) = (Dependency::Roster, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
@@ -72,13 +72,13 @@
     let sent = Moment::now();
     let batch = follower.next(wait).await?;
     let news = batch.updates.into_iter().filter_map(decode).collect();
-    shared.quotas.read(news, batch.complete, sent);
+    shared.quotas.apply_roster_read(news, batch.complete, sent);
     Ok(())
 }
 
 /// Writes what is to be written now.
 async fn write(shared: &Shared, store: &Store) -> Result<(), StoreError> {
-    while let Some(write) = shared.quotas.next_write() {
+    while let Some(write) = shared.quotas.next_roster_write() {
         let (addr, value) = match &write {
             RosterWrite::Put(addr, record) => {
                 (addr, serde_json::to_vec(record).unwrap_or_default())
@@ -86,7 +86,7 @@
             RosterWrite::Delete(addr) => (addr, Vec::new()),
         };
         store.put(Topic::Routers, &addr.to_string(), &value, None).await?;
-        shared.quotas.wrote(&write);
+        shared.quotas.confirm_roster_write(&write);
     }
     Ok(())
 }
