--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -81,10 +81,10 @@
 ) {
     let since = Instant::now();
     let (domain, among) = {
-        let peers = shared.known.lock();
-        let domain = peers.map.get(&id).map(|peer| peer.endpoint.domain.clone());
+        let table = shared.known.lock();
+        let domain = table.map.get(&id).map(|tracked| tracked.endpoint.domain.clone());
         let alike =
-            peers.map.values().filter(|peer| Some(&peer.endpoint.domain) == domain.as_ref());
+            table.map.values().filter(|tracked| Some(&tracked.endpoint.domain) == domain.as_ref());
         let among = u32::try_from(alike.count()).unwrap_or(u32::MAX);
         (domain, among)
     };
@@ -168,14 +168,14 @@
 
 /// What the list and the endpoint's loader say.
 fn known(shared: &Shared, id: &EndpointId, pool: &Arc<ConnectionPool>) -> Option<Found> {
-    let peers = shared.known.lock();
-    match peers.map.get(id) {
-        Some(peer) if Arc::ptr_eq(&peer.pool, pool) => {
-            (!peer.accepts_work()).then_some(Found::Spared("it was about to leave"))
+    let table = shared.known.lock();
+    match table.map.get(id) {
+        Some(tracked) if Arc::ptr_eq(&tracked.pool, pool) => {
+            (!tracked.accepts_work()).then_some(Found::Spared("it was about to leave"))
         }
         Some(_) => Some(Found::Ended("it has started again")),
         None => {
-            let there = peers.map.values().any(|peer| peer.endpoint.addr == pool.addr());
+            let there = table.map.values().any(|tracked| tracked.endpoint.addr == pool.addr());
             Some(if there {
                 Found::Ended("another one is listed at its address")
             } else {
@@ -193,7 +193,7 @@
         Ok(Ok(_)) => {}
     }
     let askable =
-        shared.known.lock().map.get(id).is_some_and(|peer| peer.endpoint.holdings.is_some());
+        shared.known.lock().map.get(id).is_some_and(|tracked| tracked.endpoint.holdings.is_some());
     if askable {
         return match platform::read_report(&shared.client, addr, PATIENCE).await {
             Ok(report) if Life::differ(report.life, life) => Answer::Other,
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint, as this router knows it.
+//! The state of one endpoint at this router.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,51 +16,53 @@
 use crate::liveness::LivenessState;
 use crate::pool::ConnectionPool;
 
-/// What a loader said is believed before the platform's list for this time, where it is asked each second.
-const FRESH: Duration = Duration::from_secs(5);
-/// The same, as so many times the time between two questions.
-const FRESH_WAITS: u32 = 2;
+/// How long the state that a loader reported takes precedence over the list of endpoints, for a loader that is polled every
+/// second.
+const STATE_LIFETIME: Duration = Duration::from_secs(5);
+/// The same as a multiple of the poll interval, for loaders that are polled less often.
+const STATE_LIFETIME_POLLS: u32 = 2;
 
-/// Requests since its loader's last news that are a burst.
-const BURST: u32 = 3;
-/// Each other router is taken to have sent one for so many of a burst.
-const ALIKE: u32 = 3;
+/// From this number of new requests since the loader's last report on, they count as a burst that other routers have too.
+const MIN_BURST: u32 = 3;
+/// Each other router is assumed to have sent an endpoint one request for this many of a burst at this router.
+const OTHER_ROUTER_BURST_DIVISOR: u32 = 3;
 
-/// What is known of an endpoint whose entry is missing and may only have lapsed while the store was away.
+/// Set for an endpoint whose list entry is missing but may only have lapsed while the store was unreachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MissingEntry {
-    /// Until when its entry may come back; then it is gone.
+    /// When the endpoint is removed if its entry has not come back.
     pub(crate) until: Instant,
-    /// Whether it gave no sign when it was asked: it gets no requests.
-    pub(crate) silent: bool,
+    /// Whether the endpoint did not answer its last health check as healthy. It gets no requests then.
+    pub(crate) unhealthy: bool,
 }
 
-/// What an endpoint has said of itself in one of its lives.
+/// What one incarnation of an endpoint has announced about itself in its answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ReceivedHints {
-    /// It leaves. Nothing takes that back within this life: neither the list, which may be older, nor a loader or
-    /// another router, who may know less.
-    pub(crate) leaving: bool,
-    /// It wants nothing from this router until then.
-    pub(crate) until: Option<Instant>,
-    /// When it said so last, by this router's time of day.
-    pub(crate) heard: Stamp,
+    /// Whether the endpoint is draining. Nothing takes this back within the incarnation: the list may be older, and a loader
+    /// or another router may know less.
+    pub(crate) draining: bool,
+    /// Until when the endpoint asked this router for no requests.
+    pub(crate) backoff_until: Option<Instant>,
+    /// When the last hints were received, by this router's wall clock.
+    pub(crate) received_at: Stamp,
 }
 
 impl ReceivedHints {
-    /// What it has said in all, after it has said something more.
+    /// These hints, updated by newer ones of the same incarnation.
     pub(crate) fn merge(self, new: Self) -> Self {
         Self {
-            leaving: self.leaving || new.leaving,
-            until: self.until.max(new.until),
-            heard: new.heard,
+            draining: self.draining || new.draining,
+            backoff_until: self.backoff_until.max(new.backoff_until),
+            received_at: new.received_at,
         }
     }
 
-    /// Whether it was said in a life that is known to be another one than the one to which it was put down. Answers don't tell
-    /// which life gives them, and an endpoint that has just started again speaks before the list tells of its life.
+    /// Whether the hints were received after incarnation `life` started, and so came from it although they were recorded for
+    /// another one. Answers don't say which incarnation sends them, and an endpoint that has just restarted answers before the
+    /// list shows its new incarnation.
     pub(crate) fn from_incarnation(self, life: Option<Life>) -> bool {
-        life.is_some_and(|Life(born)| self.heard.0 > born)
+        life.is_some_and(|Life(started)| self.received_at.0 > started)
     }
 }
 
@@ -71,43 +73,43 @@
     pub(crate) running: u32,
 }
 
-/// Calls to a loader for a model that have no answer yet.
+/// Requests to a loader to load a model that it has not answered yet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct OpenLoads {
     pub(crate) open: u32,
-    /// Requests that waited when it was last asked.
+    /// How many requests waited for the model when the loader was last asked.
     pub(crate) waiting: u32,
 }
 
-/// One endpoint.
+/// An endpoint and what this router knows about it.
 #[derive(Debug)]
 pub(crate) struct TrackedEndpoint {
-    /// It, in the newest of its lives that the list or its loader tells of.
+    /// The endpoint in the newest incarnation that the list or its loader has reported.
     pub(crate) endpoint: Endpoint,
-    /// The life that the list last told of.
+    /// The incarnation in the last list entry.
     listed_incarnation: Option<Life>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) listed_at: Instant,
-    /// How far the list had been read when it last told of it.
+    /// The position in the list of the last update of this endpoint's entry.
     pub(crate) list_position: StorePosition,
-    /// How long its loader is asked to wait for news.
+    /// How long the loader is asked to hold a poll while there is nothing new.
     pub(crate) poll_wait: Duration,
-    /// Set while its entry is missing.
+    /// Set while the endpoint's list entry is missing.
     pub(crate) missing: Option<MissingEntry>,
     pub(crate) hints: ReceivedHints,
     pub(crate) state: Option<(State, Instant)>,
-    /// Requests of this router when its loader last said how many there are of all.
+    /// Requests of this router at the endpoint when its loader last reported the running requests of all routers.
     pub(crate) running_baseline: u32,
     pub(crate) running: u32,
-    /// Prompts of this router's requests that it has still to read.
+    /// Prompts of this router's requests that the endpoint has yet to process.
     pub(crate) backlog: Ahead,
     pub(crate) uses: HashMap<ModelName, Usage>,
     pub(crate) paused_until: Option<Instant>,
-    /// Failures in a row.
+    /// Consecutive failed calls.
     pub(crate) consecutive_failures: u32,
-    /// Failures of late.
+    /// Recent failed calls.
     pub(crate) recent_failures: Trouble,
-    /// What its loader has been asked for.
+    /// Requests to load a model that the loader has not answered yet.
     pub(crate) open_loads: HashMap<ModelId, OpenLoads>,
     pub(crate) refused_until: HashMap<ModelId, Instant>,
     pub(crate) loader_task: Option<AbortHandle>,
@@ -140,22 +142,22 @@
         }
     }
 
-    /// Takes what the list says; true if that is about another life, of which nothing was known.
+    /// Applies a list entry. Returns true if it shows an incarnation that was not known before, or a new address.
     pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) -> bool {
         self.missing = None;
         let repeated = endpoint.life == self.listed_incarnation;
         let other = !self.same_incarnation(endpoint.life);
         if other && repeated {
-            // Its loader has told of a later life already.
+            // The loader has reported a later incarnation already.
             return false;
         }
         self.listed_incarnation = endpoint.life;
         self.listed_at = now;
         if other || endpoint.addr != self.endpoint.addr {
-            // One that has only moved is as much about to leave as before.
-            let said = if other { self.hints_in(endpoint.life) } else { self.hints };
+            // An endpoint that has only moved to another address is still draining if it was before.
+            let hints = if other { self.hints_in(endpoint.life) } else { self.hints };
             self.restart(endpoint, now);
-            self.hints = said;
+            self.hints = hints;
             return true;
         }
         let life = endpoint.life.or(self.endpoint.life);
@@ -163,27 +165,28 @@
         false
     }
 
-    /// Takes what its loader says; true if that is about a life of which nothing was known.
+    /// Applies the state that the loader reported. Returns true if it shows an incarnation that was not known before.
     pub(crate) fn apply_state(&mut self, state: State, now: Instant) -> bool {
         let other = !self.same_incarnation(state.life);
         if other && state.life < self.endpoint.life {
-            // The loader has not asked its endpoint since it started again.
+            // The loader has not asked the endpoint since the endpoint restarted.
             return false;
         }
         let life = state.life.or(self.endpoint.life);
         if other {
-            let (said, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
+            let (hints, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
             self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
-            self.hints = said;
+            self.hints = hints;
         }
         self.endpoint.life = life;
-        self.hints.leaving |= state.draining;
+        self.hints.draining |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
         other
     }
 
-    /// Takes that its loader has nothing new to say but how busy it is; false if it has said nothing in this life.
+    /// Applies a loader's response that only the load has changed. Returns false if the loader has reported nothing for this
+    /// incarnation.
     pub(crate) fn refresh_load(&mut self, load: Load, now: Instant) -> bool {
         let Some((state, heard)) = &mut self.state else { return false };
         state.load = load;
@@ -192,22 +195,22 @@
         true
     }
 
-    /// What it has said in a life that begins to be known.
+    /// The hints that are known to hold for an incarnation that is seen for the first time.
     fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
         if self.hints.from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
-    /// Whether it is in this life, as far as anybody says.
+    /// Whether this is the known incarnation, or may be it because either is unknown.
     pub(crate) fn same_incarnation(&self, life: Option<Life>) -> bool {
         !Life::differ(life, self.endpoint.life)
     }
 
-    /// Drops what was known of an earlier life: what it held and ran, connections, pauses, questions.
+    /// Discards what belongs to an earlier incarnation: held models, running requests, connections, pauses and open loads.
     fn restart(&mut self, endpoint: Endpoint, now: Instant) {
         let (listed_incarnation, missing, list_position) =
             (self.listed_incarnation, self.missing, self.list_position);
-        // A loader is asked at the endpoint's address.
-        let kept = self.loader_task.take().filter(|task| {
+        // The loader is reached at the endpoint's address, so its task ends if that has changed.
+        let task = self.loader_task.take().filter(|task| {
             let moved = endpoint.addr != self.endpoint.addr;
             if moved {
                 task.abort();
@@ -218,33 +221,33 @@
             listed_incarnation,
             missing,
             list_position,
-            loader_task: kept,
+            loader_task: task,
             ..Self::new(endpoint, now)
         };
     }
 
-    /// Whether it takes new work, as far as the list, its loader and it itself say.
+    /// Whether the endpoint takes new requests, according to the list, its loader and its own hints.
     pub(crate) fn accepts_work(&self) -> bool {
-        self.endpoint.stage == Stage::Ready && !self.hints.leaving
+        self.endpoint.stage == Stage::Ready && !self.hints.draining
     }
 
-    /// For how long it wants nothing from this router, if it said so.
+    /// How much longer the endpoint wants no requests from this router, if it asked for back-off.
     pub(crate) fn backoff_left(&self, now: Instant) -> Option<Duration> {
-        let left = self.hints.until?.saturating_duration_since(now);
+        let left = self.hints.backoff_until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// The endpoint, as other routers are told of it.
+    /// The endpoint's entry, as it is passed on to other routers.
     pub(crate) fn announced_entry(&self) -> Endpoint {
-        let leaves = self.hints.leaving && self.endpoint.stage == Stage::Ready;
+        let leaves = self.hints.draining && self.endpoint.stage == Stage::Ready;
         let stage = if leaves { Stage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
 
-    /// Whether it may get requests.
+    /// Whether the endpoint may get requests now.
     pub(crate) fn usable(&self, now: Instant) -> bool {
         let paused = self.paused_until.is_some_and(|until| until > now);
-        let missing = self.missing.is_some_and(|missing| missing.silent);
+        let missing = self.missing.is_some_and(|missing| missing.unhealthy);
         self.accepts_work()
             && self.backoff_left(now).is_none()
             && !missing
@@ -252,26 +255,26 @@
             && !self.unresponsive(now)
     }
 
-    /// Whether it has had requests of this router and sends nothing: it stands still or is cut off.
+    /// Whether the endpoint has had requests of this router and sends nothing: it hangs or is unreachable.
     fn unresponsive(&self, now: Instant) -> bool {
-        // One without models can't be asked for a sign: it is found again by one request at a time.
-        let askable = self.endpoint.holdings.is_some();
-        (askable || self.running > 0)
+        // An endpoint without models can't be probed: single requests find out whether it responds again.
+        let has_loader = self.endpoint.holdings.is_some();
+        (has_loader || self.running > 0)
             && self.pool.liveness().state(now) == LivenessState::Unresponsive
     }
 
-    /// Whether it is to be asked for a sign of life before it gets requests.
+    /// Whether the endpoint must answer a probe before it gets requests.
     pub(crate) fn needs_probe(&self, now: Instant) -> bool {
-        let signs = self.pool.liveness();
+        let liveness = self.pool.liveness();
         self.endpoint.holdings.is_some()
-            && match signs.state(now) {
+            && match liveness.state(now) {
                 LivenessState::Responsive => false,
                 LivenessState::Doubtful => true,
-                LivenessState::Unresponsive => self.running == 0 || signs.silent(now),
+                LivenessState::Unresponsive => self.running == 0 || liveness.silent(now),
             }
     }
 
-    /// What it holds, from whoever knows best.
+    /// The models that the endpoint holds, by its loader's state while that is recent, else by the list.
     pub(crate) fn holdings(&self, now: Instant) -> Option<&Holdings> {
         match &self.state {
             Some((state, heard)) if now - *heard < self.state_lifetime() => Some(&state.holdings),
@@ -279,25 +282,28 @@
         }
     }
 
-    /// Requests that it is likely to have of all routers. What its loader says is up to a second old; since callers
-    /// are spread over the routers, a burst that this one has sent there since stands for what the others have sent, or
-    /// for a third of it, since they are spread unevenly. Fewer say nothing: among thirty routers one request each would
-    /// seem to fill the endpoint.
+    /// The estimated number of requests that the endpoint has from all routers. The loader's report is up to a second old.
+    /// Since callers are spread over the routers, a burst from this router since then suggests that each other router has
+    /// sent a third as many; only a third, because callers are spread unevenly. Fewer new requests suggest nothing: among
+    /// thirty routers, one request each would seem to fill the endpoint.
     pub(crate) fn total_running(&self) -> u32 {
         let Some((state, _)) = &self.state else { return self.running };
         let others = state.load.running.saturating_sub(self.running_baseline);
         let new = self.running.saturating_sub(self.running_baseline);
-        let alike =
-            if new >= BURST { new * state.load.routers.saturating_sub(1) / ALIKE } else { 0 };
-        others + self.running + alike
+        let assumed = if new >= MIN_BURST {
+            new * state.load.routers.saturating_sub(1) / OTHER_ROUTER_BURST_DIVISOR
+        } else {
+            0
+        };
+        others + self.running + assumed
     }
 
-    /// Routers that send requests there, this one included.
+    /// The number of routers that send requests to the endpoint, this one included.
     pub(crate) fn routers(&self) -> u32 {
         self.state.as_ref().map_or(1, |(state, _)| state.load.routers.max(1))
     }
 
-    /// What decisions see of it.
+    /// The endpoint as the placement sees it; `able` says whether its loader may be asked for the model.
     pub(crate) fn candidate(&self, able: bool, now: Instant) -> Candidate<'_> {
         let state = self.state.as_ref().map(|(state, _)| state);
         Candidate {
@@ -313,12 +319,12 @@
         }
     }
 
-    /// For how long what its loader said is believed.
+    /// How long the state that the loader reported takes precedence over the list.
     fn state_lifetime(&self) -> Duration {
-        FRESH.max(self.poll_wait * FRESH_WAITS)
+        STATE_LIFETIME.max(self.poll_wait * STATE_LIFETIME_POLLS)
     }
 
-    /// Whether its loader can be asked for models.
+    /// Whether the loader can be asked to load models.
     pub(crate) fn can_load(&self, now: Instant) -> bool {
         self.state
             .as_ref()
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -39,105 +39,105 @@
 
 /// An endpoint in its first life of which bad things are known.
 fn troubled(now: Instant) -> TrackedEndpoint {
-    let mut peer = TrackedEndpoint::new(entry(100), now);
-    peer.apply_state(state(100, &["a", "b"]), now);
-    peer.running = 5;
-    peer.consecutive_failures = 3;
-    peer.paused_until = Some(now + Duration::from_secs(4));
-    peer.refused_until.insert("b".parse().expect("a model"), now + Duration::from_secs(4));
-    peer.open_loads.entry("b".parse().expect("a model")).or_default().open = 1;
-    peer
+    let mut tracked = TrackedEndpoint::new(entry(100), now);
+    tracked.apply_state(state(100, &["a", "b"]), now);
+    tracked.running = 5;
+    tracked.consecutive_failures = 3;
+    tracked.paused_until = Some(now + Duration::from_secs(4));
+    tracked.refused_until.insert("b".parse().expect("a model"), now + Duration::from_secs(4));
+    tracked.open_loads.entry("b".parse().expect("a model")).or_default().open = 1;
+    tracked
 }
 
-fn assert_new(peer: &TrackedEndpoint, now: Instant) {
-    assert!(peer.usable(now));
-    assert_eq!((peer.running, peer.consecutive_failures, peer.total_running()), (0, 0, 0));
-    assert!(peer.refused_until.is_empty() && peer.open_loads.is_empty());
+fn assert_new(tracked: &TrackedEndpoint, now: Instant) {
+    assert!(tracked.usable(now));
+    assert_eq!((tracked.running, tracked.consecutive_failures, tracked.total_running()), (0, 0, 0));
+    assert!(tracked.refused_until.is_empty() && tracked.open_loads.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn nothing_of_an_earlier_life_is_left_when_the_list_tells_of_a_new_one() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    let pool = peer.pool.clone();
-    assert!(peer.apply_entry(Endpoint { holdings: Some(holding(&[])), ..entry(200) }, now));
-    assert_new(&peer, now);
-    assert!(!Arc::ptr_eq(&pool, &peer.pool), "its connections are gone");
-    assert!(!peer.holdings(now).expect("models").holds(&"a".parse().expect("a name")));
+    let mut tracked = troubled(now);
+    let pool = tracked.pool.clone();
+    assert!(tracked.apply_entry(Endpoint { holdings: Some(holding(&[])), ..entry(200) }, now));
+    assert_new(&tracked, now);
+    assert!(!Arc::ptr_eq(&pool, &tracked.pool), "its connections are gone");
+    assert!(!tracked.holdings(now).expect("models").holds(&"a".parse().expect("a name")));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_loader_tells_of_a_new_life_before_the_list_does() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    assert!(peer.apply_state(State { load: Load::default(), ..state(200, &["c"]) }, now));
-    assert_new(&peer, now);
-    assert!(peer.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
+    let mut tracked = troubled(now);
+    assert!(tracked.apply_state(State { load: Load::default(), ..state(200, &["c"]) }, now));
+    assert_new(&tracked, now);
+    assert!(tracked.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
     // The list still shows the earlier life, and then the new one.
-    assert!(!peer.apply_entry(entry(100), now));
-    assert_eq!(peer.endpoint.life, Some(Life(200)));
-    assert!(!peer.apply_entry(entry(200), now));
-    assert!(peer.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
+    assert!(!tracked.apply_entry(entry(100), now));
+    assert_eq!(tracked.endpoint.life, Some(Life(200)));
+    assert!(!tracked.apply_entry(entry(200), now));
+    assert!(tracked.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_loader_that_still_speaks_of_the_earlier_life_changes_nothing() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    peer.apply_entry(entry(200), now);
-    assert!(!peer.apply_state(state(100, &["a", "b"]), now));
-    assert!(peer.state.is_none());
-    assert!(!peer.can_load(now));
+    let mut tracked = troubled(now);
+    tracked.apply_entry(entry(200), now);
+    assert!(!tracked.apply_state(state(100, &["a", "b"]), now));
+    assert!(tracked.state.is_none());
+    assert!(!tracked.can_load(now));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_life_that_seems_to_have_begun_earlier_is_believed_if_the_list_tells_of_it() {
     let now = Instant::now();
-    let mut peer = troubled(now);
+    let mut tracked = troubled(now);
     // The endpoint's clock was set back between its lives.
-    assert!(peer.apply_entry(entry(50), now));
-    assert_new(&peer, now);
-    assert!(!peer.apply_state(State { load: Load::default(), ..state(50, &["c"]) }, now));
-    assert!(peer.can_load(now));
+    assert!(tracked.apply_entry(entry(50), now));
+    assert_new(&tracked, now);
+    assert!(!tracked.apply_state(State { load: Load::default(), ..state(50, &["c"]) }, now));
+    assert!(tracked.can_load(now));
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_endpoint_that_does_not_tell_its_lives_apart_is_one() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    assert!(!peer.apply_entry(Endpoint { life: None, ..entry(0) }, now));
-    assert!(!peer.apply_state(State { life: None, ..state(0, &["a"]) }, now));
-    assert_eq!((peer.endpoint.life, peer.running), (Some(Life(100)), 5));
+    let mut tracked = troubled(now);
+    assert!(!tracked.apply_entry(Endpoint { life: None, ..entry(0) }, now));
+    assert!(!tracked.apply_state(State { life: None, ..state(0, &["a"]) }, now));
+    assert_eq!((tracked.endpoint.life, tracked.running), (Some(Life(100)), 5));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_loader_without_news_renews_what_it_said_but_not_of_an_earlier_life() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    let later = now + FRESH;
+    let mut tracked = troubled(now);
+    let later = now + STATE_LIFETIME;
     let load = Load { waiting: 1, running: 9, routers: 3 };
-    assert!(peer.refresh_load(load, later));
-    assert!(peer.can_load(later));
-    assert_eq!((peer.routers(), peer.candidate(true, later).waiting), (3, 1));
-    peer.apply_entry(entry(200), later);
-    assert!(!peer.refresh_load(load, later));
-    assert!(peer.state.is_none());
+    assert!(tracked.refresh_load(load, later));
+    assert!(tracked.can_load(later));
+    assert_eq!((tracked.routers(), tracked.candidate(true, later).waiting), (3, 1));
+    tracked.apply_entry(entry(200), later);
+    assert!(!tracked.refresh_load(load, later));
+    assert!(tracked.state.is_none());
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_an_endpoint_said_of_its_leaving_holds_for_its_life_whatever_else_is_heard() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    peer.hints.leaving = true;
-    peer.apply_entry(entry(100), now);
-    assert!(!peer.accepts_work(), "an older entry");
-    peer.apply_state(state(100, &["a"]), now);
-    assert!(!peer.accepts_work(), "a loader that knows less");
-    peer.apply_entry(Endpoint { addr: ([10, 0, 0, 2], 80).into(), ..entry(100) }, now);
-    assert!(!peer.accepts_work(), "it has moved");
-    assert_eq!(peer.announced_entry().stage, Stage::Draining(None));
-    peer.apply_entry(entry(200), now);
-    assert!(peer.accepts_work(), "another life");
+    let mut tracked = troubled(now);
+    tracked.hints.draining = true;
+    tracked.apply_entry(entry(100), now);
+    assert!(!tracked.accepts_work(), "an older entry");
+    tracked.apply_state(state(100, &["a"]), now);
+    assert!(!tracked.accepts_work(), "a loader that knows less");
+    tracked.apply_entry(Endpoint { addr: ([10, 0, 0, 2], 80).into(), ..entry(100) }, now);
+    assert!(!tracked.accepts_work(), "it has moved");
+    assert_eq!(tracked.announced_entry().stage, Stage::Draining(None));
+    tracked.apply_entry(entry(200), now);
+    assert!(tracked.accepts_work(), "another life");
 }
 
 /// It started again at 200, said at 300 that it leaves and wants nothing, and then the list told of its life.
@@ -146,27 +146,28 @@
     let now = Instant::now();
     let until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
-        let mut peer = troubled(now);
-        peer.hints = ReceivedHints { leaving: true, until, heard: Stamp(300) };
+        let mut tracked = troubled(now);
+        tracked.hints =
+            ReceivedHints { draining: true, backoff_until: until, received_at: Stamp(300) };
         if by_loader {
-            peer.apply_state(state(200, &[]), now);
+            tracked.apply_state(state(200, &[]), now);
         } else {
-            peer.apply_entry(entry(200), now);
+            tracked.apply_entry(entry(200), now);
         }
-        assert!(!peer.accepts_work());
-        assert!(peer.backoff_left(now).is_some());
-        peer.apply_entry(entry(400), now);
-        assert!(peer.accepts_work() && peer.backoff_left(now).is_none());
+        assert!(!tracked.accepts_work());
+        assert!(tracked.backoff_left(now).is_some());
+        tracked.apply_entry(entry(400), now);
+        assert!(tracked.accepts_work() && tracked.backoff_left(now).is_none());
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_loader_that_no_longer_says_that_its_endpoint_leaves_does_not_take_it_back() {
     let now = Instant::now();
-    let mut peer = troubled(now);
-    peer.apply_state(State { draining: true, ..state(100, &["a"]) }, now);
-    peer.apply_state(state(100, &["a"]), now);
-    assert!(!peer.accepts_work());
-    peer.apply_state(state(200, &[]), now);
-    assert!(peer.accepts_work());
+    let mut tracked = troubled(now);
+    tracked.apply_state(State { draining: true, ..state(100, &["a"]) }, now);
+    tracked.apply_state(state(100, &["a"]), now);
+    assert!(!tracked.accepts_work());
+    tracked.apply_state(state(200, &[]), now);
+    assert!(tracked.accepts_work());
 }
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -1,9 +1,9 @@
-//! Keeps requests that crash endpoints from them.
+//! Keeps requests that crash endpoints from being sent.
 //!
-//! Load pattern: callers send one request again and again, several at a time and through all routers, and each endpoint
-//! that begins to run it is gone for seconds, with all that it had. Until it is known who is to blame, those that
-//! were at an end are sent one at a time, and none while an end is being looked into; those that were at two are kept
-//! from each other, so that the next end tells them apart.
+//! Load pattern: callers send the same request again and again, several at a time and through all routers, and each endpoint
+//! that starts to run it is gone for seconds, with all requests that it had. Until it is known which request is to blame,
+//! requests that an endpoint had when it crashed are sent one at a time, and not at all while a possible crash is being
+//! examined. Requests that two crashed endpoints had are isolated from each other, so that the next crash tells them apart.
 
 use std::collections::{HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,14 +17,14 @@
 
 use crate::pool::ConnectionPool;
 
-/// From so many ends on a request is kept from others that were at as many.
-const APART: usize = 2;
-/// Records that are told to routers which can't read them in the store.
-const RECENT: usize = 64;
-/// How long after an end of an endpoint news of others are read without delay.
-const ALERT: Duration = Duration::from_secs(60);
+/// A request that was at this many crashes is kept from sharing an endpoint with others that were at as many.
+const MIN_CRASHES_TO_ISOLATE: usize = 2;
+/// The most crash records that are kept for routers that can't read them in the store.
+const MAX_RECENT_RECORDS: usize = 64;
+/// How long after a crash, or a possible one, records of other routers are read without delay.
+const CRASH_ALERT_PERIOD: Duration = Duration::from_secs(60);
 
-/// The time of day, as records bear it.
+/// The current time of day, as it is stored in crash records.
 #[allow(
     clippy::disallowed_methods,
     reason = "records outlive their writers, and what depends on their time bears jumps of seconds"
@@ -35,34 +35,34 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct GuardState {
     table: Table,
-    /// Requests that were at an end of an endpoint and are on their way now.
+    /// Requests that a crashed endpoint had and that are in flight now: one of each digest at a time.
     turns: HashSet<Digest>,
-    /// Lives of endpoints that may have ended.
-    examined: Vec<Arc<ConnectionPool>>,
+    /// Connection pools of the incarnations that may have crashed and are being examined.
+    examined_pools: Vec<Arc<ConnectionPool>>,
     recent: VecDeque<Kept>,
-    /// When an endpoint ended last, as far as this router has heard.
-    heard: Option<Instant>,
+    /// When this router last learned of a crash or a possible one.
+    last_crash: Option<Instant>,
 }
 
-impl State {
-    /// Whether it was at an endpoint of which it is not known yet whether it has ended.
+impl GuardState {
+    /// Whether the request was at an endpoint that is being examined for a crash.
     fn pending(&self, digest: &Digest) -> bool {
         let now = Instant::now();
-        self.examined.iter().any(|pool| pool.sent_requests().is_candidate(digest, now))
+        self.examined_pools.iter().any(|pool| pool.sent_requests().is_candidate(digest, now))
     }
 }
 
-/// What keeps them.
+/// Decides when a request may be sent, by what is known about crashed endpoints.
 #[derive(Debug)]
 pub(crate) struct CrashGuard {
-    state: Mutex<State>,
-    /// Told whenever a request that waits here may go on.
+    state: Mutex<GuardState>,
+    /// Notified whenever a request that waits here may be able to go on.
     changed: Notify,
-    /// Told when an endpoint may have ended: others may know more.
+    /// Notified when an endpoint may have crashed: other routers may know more.
     pub(crate) possible_crash: Notify,
-    /// Records of this router, to be written.
+    /// New crash records of this router, to be written to the store.
     write: mpsc::UnboundedSender<Kept>,
     router: String,
 }
@@ -70,15 +70,15 @@
 /// Why a request may not be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Rejection {
-    /// It crashes endpoints.
+    /// The request crashes endpoints.
     Suspect,
-    /// It is a suspect whose trial is due.
+    /// The request is a suspect, and its trial with this number is due.
     TrialDue(u32),
-    /// Another one like it was on its way for as long as this one could wait.
+    /// A request with the same digest was in flight, or a possible crash was examined, for as long as this one could wait.
     Busy,
 }
 
-/// The turn of a request among those like it; given back when it is dropped.
+/// The right to be the only request in flight with its digest; given back when dropped.
 #[derive(Debug)]
 struct Turn {
     guard: Arc<CrashGuard>,
@@ -92,38 +92,38 @@
     }
 }
 
-/// Leave to send a request.
+/// Permission to send a request.
 #[derive(Debug)]
 pub(crate) struct SendPermit {
-    /// Set if it was at an end of an endpoint.
+    /// Set if an endpoint crashed while it had this request.
     turn: Option<Turn>,
-    /// Whether it is kept from others that were at ends of endpoints.
+    /// Whether the request is kept from sharing an endpoint with other isolated requests.
     pub(crate) isolated: bool,
-    /// Whether a suspect is tried with it.
+    /// Whether the request is sent as the trial of a suspect.
     trial: bool,
 }
 
-/// What is to be done with a request now.
+/// Whether a request may be sent now.
 enum Decision {
-    Free,
-    Turn { isolated: bool },
+    Allow,
+    AllowInTurn { isolated: bool },
     Wait,
     Rejected(Rejection),
 }
 
 impl CrashGuard {
-    /// A guard that knows nothing; what it has to write comes out of the other end.
+    /// Creates a guard without any crash records. The receiver gets the records that are to be written to the store.
     pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<Kept>) {
         let (write, written) = mpsc::unbounded_channel();
         let (state, changed, possible_crash) = Default::default();
         (Self { state, changed, possible_crash, write, router }, written)
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, GuardState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Leave to send a request, once it may be; it waits for that until `until` at most.
+    /// Waits until a request may be sent, at most until `until`.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         digest: &Digest,
@@ -131,14 +131,14 @@
         until: Instant,
     ) -> Result<SendPermit, Rejection> {
         let mut turn = match held {
-            Some(pass) if pass.trial => return Ok(pass),
-            held => held.and_then(|pass| pass.turn),
+            Some(permit) if permit.trial => return Ok(permit),
+            held => held.and_then(|permit| permit.turn),
         };
         loop {
             let changed = self.changed.notified();
             match self.decide(digest, turn.is_some()) {
-                Decision::Free => return Ok(SendPermit { turn, isolated: false, trial: false }),
-                Decision::Turn { isolated } => {
+                Decision::Allow => return Ok(SendPermit { turn, isolated: false, trial: false }),
+                Decision::AllowInTurn { isolated } => {
                     turn.get_or_insert_with(|| self.turn(digest));
                     return Ok(SendPermit { turn, isolated, trial: false });
                 }
@@ -151,85 +151,89 @@
         }
     }
 
-    /// A turn that has been noted.
+    /// The turn of a request whose digest has been added to `turns`.
     fn turn(self: &Arc<Self>, digest: &Digest) -> Turn {
         Turn { guard: self.clone(), digest: *digest }
     }
 
-    fn decide(&self, digest: &Digest, mine: bool) -> Decision {
+    fn decide(&self, digest: &Digest, has_turn: bool) -> Decision {
         let mut state = self.lock();
         if state.pending(digest) {
             return Decision::Wait;
         }
         match state.table.standing(digest) {
-            Standing::Clear => Decision::Free,
+            Standing::Clear => Decision::Allow,
             Standing::Suspect => {
                 Decision::Rejected(match state.table.trial(digest, wall_clock()) {
                     Some(number) => Rejection::TrialDue(number),
                     None => Rejection::Suspect,
                 })
             }
-            Standing::Watched(_) if !mine && !state.turns.insert(*digest) => Decision::Wait,
-            Standing::Watched(ends) => Decision::Turn { isolated: ends >= APART },
+            Standing::Watched(_) if !has_turn && !state.turns.insert(*digest) => Decision::Wait,
+            Standing::Watched(ends) => {
+                Decision::AllowInTurn { isolated: ends >= MIN_CRASHES_TO_ISOLATE }
+            }
         }
     }
 
-    /// Whether a request that has leave may still be sent, after what has become known since.
-    pub(crate) fn allows(&self, digest: &Digest, pass: &SendPermit) -> bool {
-        if pass.trial {
+    /// Whether a request with a permit may still be sent, by what has become known since.
+    pub(crate) fn allows(&self, digest: &Digest, permit: &SendPermit) -> bool {
+        if permit.trial {
             return true;
         }
         let state = self.lock();
         match state.table.standing(digest) {
             Standing::Suspect => false,
-            Standing::Watched(ends) if pass.turn.is_none() || (ends >= APART) != pass.isolated => {
+            Standing::Watched(ends)
+                if permit.turn.is_none() || (ends >= MIN_CRASHES_TO_ISOLATE) != permit.isolated =>
+            {
                 false
             }
             Standing::Watched(_) | Standing::Clear => !state.pending(digest),
         }
     }
 
-    /// Leave to try a suspect; whoever asks has agreed on it with all routers.
+    /// Permission to send a suspect once as a trial. The caller has agreed on the trial with all routers.
     pub(crate) fn trial_permit(self: &Arc<Self>, digest: &Digest) -> Option<SendPermit> {
         let first = self.lock().turns.insert(*digest);
         first.then(|| SendPermit { turn: Some(self.turn(digest)), isolated: true, trial: true })
     }
 
-    /// A life of an endpoint may have ended: what it had is not sent until that is known.
+    /// An incarnation of an endpoint may have crashed: requests that it had are not sent until that is known.
     pub(crate) fn begin_examination(&self, pool: &Arc<ConnectionPool>) {
         let mut state = self.lock();
-        state.examined.push(pool.clone());
-        state.heard = Some(Instant::now());
+        state.examined_pools.push(pool.clone());
+        state.last_crash = Some(Instant::now());
         drop(state);
         self.possible_crash.notify_waiters();
     }
 
-    /// Whether it has is known; `death` if so.
+    /// Ends the examination of an incarnation; `death` is the crash, if it is one.
     pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Death>) {
         if let Some(death) = death {
             self.record(Note::Death(death));
         }
-        self.lock().examined.retain(|other| !Arc::ptr_eq(other, pool));
+        self.lock().examined_pools.retain(|other| !Arc::ptr_eq(other, pool));
         self.changed.notify_waiters();
     }
 
-    /// A request ran to its end: what it was at before does not speak against it.
+    /// A request ran to its end: earlier crashes of endpoints that had it no longer count against it.
     pub(crate) fn record_completion(&self, digest: &Digest) {
         let standing = self.lock().table.standing(digest);
-        // What is of no weight yet is worth no record.
-        let weighs = match standing {
+        // A single crash counts too little for its release to be stored: it is applied at this router only.
+        let significant = match standing {
             Standing::Clear => return,
-            Standing::Watched(ends) => ends >= APART,
+            Standing::Watched(ends) => ends >= MIN_CRASHES_TO_ISOLATE,
             Standing::Suspect => true,
         };
         let note = Note::Release(Release { digest: *digest, at: wall_clock() });
-        if weighs {
+        if significant {
             return self.record(note);
         }
         self.apply(&[Kept { key: note.key(&self.router), note }]);
     }
 
-    /// Lets a request go; false if it is no suspect.
+    /// Releases a suspect on an operator's request. Returns false if the request is no suspect.
     pub(crate) fn release(&self, digest: &Digest) -> bool {
         let suspect = self.lock().table.standing(digest) == Standing::Suspect;
         if suspect {
@@ -238,19 +242,19 @@
         suspect
     }
 
-    /// Takes a record of this router's own and has it written.
+    /// Applies a record of this router and has it written to the store.
     pub(crate) fn record(&self, note: Note) {
         let kept = Kept { key: note.key(&self.router), note };
         self.apply(std::slice::from_ref(&kept));
         let _ = self.write.send(kept);
     }
 
-    /// Has a record written that another router told of.
+    /// Has a record from another router written to the store.
     pub(crate) fn queue_write(&self, kept: Kept) {
         let _ = self.write.send(kept);
     }
 
-    /// Takes records, and returns those that say something new.
+    /// Applies crash records, and returns those that are new and not expired.
     pub(crate) fn apply(&self, all: &[Kept]) -> Vec<Kept> {
         let now = wall_clock();
         let mut state = self.lock();
@@ -265,14 +269,14 @@
             return Vec::new();
         }
         if fresh.iter().any(|kept| matches!(kept.note, Note::Death(_))) {
-            state.heard = Some(Instant::now());
+            state.last_crash = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
-        let over = state.recent.len().saturating_sub(RECENT);
-        state.recent.drain(..over);
+        let excess = state.recent.len().saturating_sub(MAX_RECENT_RECORDS);
+        state.recent.drain(..excess);
         for (digest, ends) in state.table.suspects().filter(|(digest, _)| !before.contains(digest))
         {
-            emit_blamed(digest, true, &list(ends, now));
+            emit_blamed(digest, true, &format_evidence(ends, now));
         }
         for digest in before.iter().filter(|digest| state.table.evidence(digest).is_empty()) {
             emit_blamed(digest, false, "");
@@ -282,22 +286,22 @@
         fresh
     }
 
-    /// What this router knows of late.
+    /// The crash records that this router has learned of recently.
     pub(crate) fn recent(&self) -> Vec<Kept> {
         self.lock().recent.iter().cloned().collect()
     }
 
-    /// Whether an endpoint has ended of late, so that news of others may decide soon.
+    /// Whether an endpoint has crashed recently, so that records of other routers may soon decide on requests.
     pub(crate) fn recent_crash(&self) -> bool {
-        self.lock().heard.is_some_and(|heard| heard.elapsed() < ALERT)
+        self.lock().last_crash.is_some_and(|at| at.elapsed() < CRASH_ALERT_PERIOD)
     }
 
-    /// What speaks against a request, for a line.
+    /// The crashes that count against a request, as text for an event.
     pub(crate) fn evidence_text(&self, digest: &Digest) -> String {
-        list(self.lock().table.evidence(digest), wall_clock())
+        format_evidence(self.lock().table.evidence(digest), wall_clock())
     }
 
-    /// All suspects.
+    /// All suspected requests.
     pub(crate) fn suspects(&self) -> Vec<Suspect> {
         let state = self.lock();
         let suspect = |(digest, ends): (&Digest, &[Evidence])| Suspect {
@@ -312,8 +316,8 @@
     emit(&Event::Blamed { digest: &digest.to_string(), suspect, ends });
 }
 
-/// Endpoint, life and age of each end.
-fn list(ends: &[Evidence], now: Stamp) -> String {
+/// The endpoint, incarnation and age of each crash.
+fn format_evidence(ends: &[Evidence], now: Stamp) -> String {
     let one = |end: &Evidence| {
         let life = end.life.unwrap_or_default();
         format!("{} {life} {}ms", end.endpoint, now.since(end.at).as_millis())
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -49,8 +49,8 @@
     /// what is missing since this read: it is to be asked.
     pub(crate) fn apply_list(&self, news: ListUpdate, until: Option<Instant>) -> Vec<EndpointId> {
         let now = Instant::now();
-        let mut peers = self.lock();
-        if peers.list_loaded && news.read < peers.list_position {
+        let mut table = self.lock();
+        if table.list_loaded && news.read < table.list_position {
             // Another router has told of later changes meanwhile.
             return Vec::new();
         }
@@ -58,14 +58,14 @@
         let mut gone = BTreeSet::new();
         if news.whole {
             let seen: HashSet<&EndpointId> = changes.iter().filter_map(Change::seen).collect();
-            gone.extend(peers.map.keys().filter(|id| !seen.contains(id)).cloned());
+            gone.extend(table.map.keys().filter(|id| !seen.contains(id)).cloned());
         }
         for change in changes {
             match change {
                 Change::Seen(endpoint) => {
                     // It may have lapsed and come back within one read.
                     gone.remove(&endpoint.id);
-                    peers.see(*endpoint, news.read, now);
+                    table.see(*endpoint, news.read, now);
                 }
                 Change::Gone(id) => {
                     gone.insert(id);
@@ -75,13 +75,13 @@
         let mut missing = Vec::new();
         for id in gone {
             match until {
-                Some(until) if until > now => missing.extend(peers.miss(&id, until).then_some(id)),
-                _ => peers.remove(&id, "its entry was removed"),
+                Some(until) if until > now => missing.extend(table.miss(&id, until).then_some(id)),
+                _ => table.remove(&id, "its entry was removed"),
             }
         }
-        peers.list_loaded = true;
-        peers.list_position = news.read;
-        drop(peers);
+        table.list_loaded = true;
+        table.list_position = news.read;
+        drop(table);
         self.changed.notify_waiters();
         missing
     }
@@ -90,55 +90,55 @@
     /// entry is missing.
     pub(crate) fn apply_snapshot(&self, snapshot: Snapshot) -> Option<Vec<EndpointId>> {
         let Snapshot { endpoints, kept, missing, read, .. } = snapshot;
-        let mut peers = self.lock();
-        if peers.list_loaded && read <= peers.list_position {
+        let mut table = self.lock();
+        if table.list_loaded && read <= table.list_position {
             return None;
         }
         let now = Instant::now();
         let there: HashSet<&EndpointId> =
             endpoints.iter().map(|endpoint| &endpoint.id).chain(&kept).collect();
         let gone: Vec<EndpointId> =
-            peers.map.keys().filter(|id| !there.contains(id)).cloned().collect();
+            table.map.keys().filter(|id| !there.contains(id)).cloned().collect();
         for id in gone {
-            peers.remove(&id, "another router has read that it is gone");
+            table.remove(&id, "another router has read that it is gone");
         }
         for endpoint in endpoints {
-            peers.see(endpoint, read, now);
+            table.see(endpoint, read, now);
         }
         let asked =
-            missing.into_iter().filter(|id| peers.miss(id, now + LAPSED_ENTRY_GRACE)).collect();
-        peers.list_loaded = true;
-        peers.list_position = read;
-        drop(peers);
+            missing.into_iter().filter(|id| table.miss(id, now + LAPSED_ENTRY_GRACE)).collect();
+        table.list_loaded = true;
+        table.list_position = read;
+        drop(table);
         self.changed.notify_waiters();
         Some(asked)
     }
 
     /// What is known beyond a position, if the list has been read.
     pub(crate) fn snapshot_since(&self, have: Position) -> Option<Snapshot> {
-        let peers = self.lock();
-        if !peers.list_loaded {
+        let table = self.lock();
+        if !table.list_loaded {
             return None;
         }
-        if peers.list_loaded
+        if table.list_loaded
             && have.read != StorePosition::default()
-            && peers.list_position <= have.read
+            && table.list_position <= have.read
         {
             // Nothing is newer.
-            return Some(Snapshot { read: peers.list_position, ..Snapshot::default() });
+            return Some(Snapshot { read: table.list_position, ..Snapshot::default() });
         }
         let (news, kept): (Vec<&TrackedEndpoint>, Vec<&TrackedEndpoint>) =
-            peers.map.values().partition(|peer| {
-                peer.list_position > have.read || have.read == StorePosition::default()
+            table.map.values().partition(|tracked| {
+                tracked.list_position > have.read || have.read == StorePosition::default()
             });
-        let missing = peers.map.values().filter(|peer| peer.missing.is_some());
-        let id = |peer: &TrackedEndpoint| peer.endpoint.id.clone();
+        let missing = table.map.values().filter(|tracked| tracked.missing.is_some());
+        let id = |tracked: &TrackedEndpoint| tracked.endpoint.id.clone();
         Some(Snapshot {
             catalog: None,
             missing: missing.map(id).collect(),
             endpoints: news.into_iter().map(TrackedEndpoint::announced_entry).collect(),
             kept: kept.into_iter().map(id).collect(),
-            read: peers.list_position,
+            read: table.list_position,
             proved: None,
         })
     }
@@ -149,18 +149,20 @@
     }
 
     /// Notes whether an endpoint whose entry is missing gave a sign when it was asked.
-    pub(crate) fn set_silent(&self, id: &EndpointId, silent: bool) {
-        if let Some(missing) = self.lock().map.get_mut(id).and_then(|peer| peer.missing.as_mut()) {
-            missing.silent = silent;
+    pub(crate) fn set_unhealthy(&self, id: &EndpointId, unhealthy: bool) {
+        if let Some(missing) =
+            self.lock().map.get_mut(id).and_then(|tracked| tracked.missing.as_mut())
+        {
+            missing.unhealthy = unhealthy;
         }
         self.changed.notify_waiters();
     }
 
     /// Removes an endpoint unless its entry is back.
     pub(crate) fn remove_missing(&self, id: &EndpointId, cause: &str) {
-        let mut peers = self.lock();
-        if peers.map.get(id).is_some_and(|peer| peer.missing.is_some()) {
-            peers.remove(id, cause);
+        let mut table = self.lock();
+        if table.map.get(id).is_some_and(|tracked| tracked.missing.is_some()) {
+            table.remove(id, cause);
         }
     }
 }
@@ -170,8 +172,10 @@
         let same_addr: Vec<EndpointId> = self
             .map
             .values()
-            .filter(|peer| peer.endpoint.addr == endpoint.addr && peer.endpoint.id != endpoint.id)
-            .map(|peer| peer.endpoint.id.clone())
+            .filter(|tracked| {
+                tracked.endpoint.addr == endpoint.addr && tracked.endpoint.id != endpoint.id
+            })
+            .map(|tracked| tracked.endpoint.id.clone())
             .collect();
         for id in same_addr {
             self.remove(&id, "another endpoint has its address");
@@ -193,8 +197,8 @@
                 Some(before)
             }
         };
-        if let Some(peer) = self.map.get_mut(&id) {
-            peer.list_position = read;
+        if let Some(tracked) = self.map.get_mut(&id) {
+            tracked.list_position = read;
         }
         if before.is_none_or(|before| (before == Stage::Ready) != (stage == "ready")) {
             emit(&Event::Member { endpoint: id.as_str(), addr, stage, cause: "" });
@@ -203,23 +207,23 @@
 
     /// Notes that an entry is missing which may only have lapsed while the store was away; false if that is not new.
     fn miss(&mut self, id: &EndpointId, until: Instant) -> bool {
-        let Some(peer) = self.map.get_mut(id).filter(|peer| peer.missing.is_none()) else {
+        let Some(tracked) = self.map.get_mut(id).filter(|tracked| tracked.missing.is_none()) else {
             return false;
         };
-        peer.missing = Some(MissingEntry { until, silent: false });
-        let (addr, cause) = (peer.endpoint.addr.to_string(), "the store was away");
+        tracked.missing = Some(MissingEntry { until, unhealthy: false });
+        let (addr, cause) = (tracked.endpoint.addr.to_string(), "the store was away");
         emit(&Event::Member { endpoint: id.as_str(), addr, stage: "missing", cause });
         true
     }
 
     fn remove(&mut self, id: &EndpointId, cause: &str) {
-        let Some(peer) = self.map.remove(id) else { return };
-        self.remember_hints(id, peer.endpoint.life, peer.hints);
+        let Some(tracked) = self.map.remove(id) else { return };
+        self.remember_hints(id, tracked.endpoint.life, tracked.hints);
         self.cold.forget(id);
-        if let Some(task) = peer.loader_task {
+        if let Some(task) = tracked.loader_task {
             task.abort();
         }
-        let addr = peer.endpoint.addr.to_string();
+        let addr = tracked.endpoint.addr.to_string();
         emit(&Event::Member { endpoint: id.as_str(), addr, stage: "gone", cause });
     }
 }
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -48,8 +48,8 @@
 
 /// What a router would use.
 fn stages(known: &EndpointRegistry) -> BTreeMap<EndpointId, Stage> {
-    let peers = known.lock();
-    peers.map.iter().map(|(id, peer)| (id.clone(), peer.endpoint.stage)).collect()
+    let table = known.lock();
+    table.map.iter().map(|(id, tracked)| (id.clone(), tracked.endpoint.stage)).collect()
 }
 
 /// The list after so many records.
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -32,17 +32,17 @@
 
 /// Starts a task for each endpoint with models that has none.
 pub(crate) fn start_new(shared: &Arc<Shared>) {
-    let mut peers = shared.known.lock();
-    for peer in peers.map.values_mut() {
-        if peer.loader_task.is_none() && peer.endpoint.holdings.is_some() {
-            let endpoint = &peer.endpoint;
+    let mut table = shared.known.lock();
+    for tracked in table.map.values_mut() {
+        if tracked.loader_task.is_none() && tracked.endpoint.holdings.is_some() {
+            let endpoint = &tracked.endpoint;
             let follow = follow(
                 shared.clone(),
                 endpoint.id.clone(),
                 endpoint.addr,
                 endpoint.service.clone(),
             );
-            peer.loader_task = Some(tokio::spawn(follow).abort_handle());
+            tracked.loader_task = Some(tokio::spawn(follow).abort_handle());
         }
     }
 }
@@ -57,12 +57,13 @@
     let mut lost: Option<Instant> = None;
     loop {
         let (life, uses, calm) = {
-            let mut peers = shared.known.lock();
-            let Some(uses) = peers.take_uses(&id, Instant::now()) else { return };
-            let loaders = peers.map.values().filter(|peer| peer.loader_task.is_some()).count();
-            let Some(peer) = peers.map.get_mut(&id) else { return };
-            peer.poll_wait = poll_wait(loaders);
-            (peer.endpoint.life, uses, peer.poll_wait)
+            let mut table = shared.known.lock();
+            let Some(uses) = table.take_uses(&id, Instant::now()) else { return };
+            let loaders =
+                table.map.values().filter(|tracked| tracked.loader_task.is_some()).count();
+            let Some(tracked) = table.map.get_mut(&id) else { return };
+            tracked.poll_wait = poll_wait(loaders);
+            (tracked.endpoint.life, uses, tracked.poll_wait)
         };
         let router = shared.instance.clone();
         let wait = if leaving { DRAIN_WAIT } else { calm };
@@ -136,10 +137,10 @@
 ) {
     let mut waiting;
     let (addr, rate) = {
-        let mut peers = shared.known.lock();
-        waiting = peers.waiting.get(&target.model).copied().unwrap_or(0);
-        let Some(peer) = peers.map.get_mut(id) else { return };
-        let asks = peer.open_loads.entry(target.clone()).or_default();
+        let mut table = shared.known.lock();
+        waiting = table.waiting.get(&target.model).copied().unwrap_or(0);
+        let Some(tracked) = table.map.get_mut(id) else { return };
+        let asks = tracked.open_loads.entry(target.clone()).or_default();
         if request.urgent {
             waiting = waiting.max(1);
         }
@@ -148,11 +149,11 @@
         }
         asks.waiting = waiting;
         asks.open += 1;
-        let addr = peer.endpoint.addr;
+        let addr = tracked.endpoint.addr;
         let now = Instant::now();
-        let rate = peers.request_rate(&target.model, now);
+        let rate = table.request_rate(&target.model, now);
         if request.cold {
-            peers.cold.ask(id, &target.model, now);
+            table.cold.ask(id, &target.model, now);
         }
         (addr, rate)
     };
@@ -207,22 +208,22 @@
     if let Ok(ensured) = ensured {
         shared.heard(&id, ensured.state);
     }
-    let mut peers = shared.known.lock();
-    peers.cold.answered(&id, &target.model);
-    if let Some(peer) = peers.map.get_mut(&id) {
-        if let Some(asks) = peer.open_loads.get_mut(&target) {
+    let mut table = shared.known.lock();
+    table.cold.answered(&id, &target.model);
+    if let Some(tracked) = table.map.get_mut(&id) {
+        if let Some(asks) = tracked.open_loads.get_mut(&target) {
             asks.open -= 1;
             if asks.open == 0 {
-                peer.open_loads.remove(&target);
+                tracked.open_loads.remove(&target);
             }
         }
         if pause.is_zero() {
-            peer.refused_until.remove(&target);
+            tracked.refused_until.remove(&target);
         } else {
-            peer.refused_until.insert(target, Instant::now() + pause);
+            tracked.refused_until.insert(target, Instant::now() + pause);
         }
     }
-    drop(peers);
+    drop(table);
     shared.known.changed.notify_waiters();
 }
 
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -49,7 +49,7 @@
                 return shared.known.remove_missing(&id, "another endpoint has its address");
             }
         };
-        shared.known.set_silent(&id, health != Some(Health::Well));
+        shared.known.set_unhealthy(&id, health != Some(Health::Well));
         let next = Instant::now() + next;
         tokio::time::sleep_until(next.min(until)).await;
         if next >= until {
--- a/components/router/src/probe.rs
+++ b/components/router/src/probe.rs
@@ -19,8 +19,8 @@
 const LONGEST: Duration = Duration::from_secs(1);
 
 /// Asks an endpoint until it answers, unless that is going on already.
-pub(crate) fn start(shared: &Arc<Shared>, id: &EndpointId, peers: &EndpointTable) {
-    if peers.map.get(id).is_some_and(|peer| peer.pool.liveness().begin_probe()) {
+pub(crate) fn start(shared: &Arc<Shared>, id: &EndpointId, table: &EndpointTable) {
+    if table.map.get(id).is_some_and(|tracked| tracked.pool.liveness().begin_probe()) {
         tokio::spawn(ask(shared.clone(), id.clone()));
     }
 }
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -1,4 +1,4 @@
-//! What a router knows of the endpoints, and which of them may get requests.
+//! What this router knows about each endpoint, and which endpoints may get requests.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,112 +20,117 @@
 use crate::guard::wall_clock;
 use crate::pool::ConnectionPool;
 
-/// One loader is asked to make room for a model, and another one only after this time: else a burst for one model would
-/// push out a model on each endpoint that has a copy.
-const INSIST: Duration = Duration::from_millis(1_000);
-/// An endpoint that failed a call gets no requests for this time, doubled with each failure in a row.
-const PAUSE: Duration = Duration::from_millis(250);
-/// The longest such pause.
-const LONGEST: Duration = Duration::from_secs(4);
-/// What one stream counts among those of late that paused: the last fifty or so do.
-const PAUSE_PART: f64 = 0.02;
-/// From this part on prompts are sent one after another; below it, what they wait costs more than the pauses.
-const PAUSING: f64 = 0.05;
-/// So many endpoints that have left are remembered: more than leave while an entry can come back.
-const LEFT: usize = 512;
-/// An endpoint that names a longer time for which it wants nothing is asked again after this: a mistake of its clock or its settings
-/// must not shut it out for as long as it lives.
-const AWAY: Duration = Duration::from_secs(300);
-/// Nobody waits for a model.
+/// Minimum time between requests to different loaders to make room for the same model. Without it, a burst for one model
+/// would evict another model on every endpoint that has a copy of its weights.
+const ROOM_REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long an endpoint gets no requests after a failed call; doubled with each consecutive failure.
+const FIRST_FAILURE_PAUSE: Duration = Duration::from_millis(250);
+/// The longest pause after failed calls.
+const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
+/// The weight of one stream in the share of recent streams that stalled: about the last fifty streams count.
+const STREAM_WEIGHT: f64 = 0.02;
+/// Above this share of stalled streams, prompts are sent to an endpoint one after another. Below it, the time that prompts
+/// would wait costs more than the stalls.
+const SERIALIZE_PAUSE_RATIO: f64 = 0.05;
+/// The most removed endpoints whose hints are kept: more than are removed while an older list entry can still return.
+const MAX_PAST_HINTS: usize = 512;
+/// The longest back-off that an endpoint may ask for. After this time it gets requests again, so that a mistake in its clock
+/// or settings can't exclude it for its whole incarnation.
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
+/// The number of waiting requests and their processing time for a model that no request waits for.
 pub(crate) const NO_WAITING_REQUESTS: (u32, Duration) = (0, Duration::ZERO);
 
-/// All endpoints.
+/// All known endpoints, with the state that concerns several of them.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     pub(crate) map: BTreeMap<EndpointId, TrackedEndpoint>,
-    /// The loaders that were asked to make room for each model of late, and when.
+    /// The loaders that were recently asked to make room for each model, and when.
     room_requests: HashMap<ModelName, Vec<(EndpointId, Instant)>>,
-    /// Requests that wait for each model.
+    /// The number of requests that wait for each model.
     pub(crate) waiting: HashMap<ModelName, u32>,
     /// Loads from the weight store.
     pub(crate) cold: ColdLoads,
-    /// What each model asks of its holders.
+    /// How much work each model's requests cause on its replicas.
     demands: HashMap<ModelName, Demand>,
-    /// The part of streams of late that paused for too long.
+    /// The share of recent streams that stalled for too long.
     pause_ratio: f64,
+    /// Whether the list of endpoints has been read.
     pub(crate) list_loaded: bool,
-    /// How far the list has been read, by this router or one that told it.
+    /// The position up to which the list has been read, by this router or by the router that it got a snapshot from.
     pub(crate) list_position: StorePosition,
-    /// What endpoints that are not listed any more said of themselves: an entry may come back that is older than that.
+    /// Hints from endpoints that are no longer listed: a list entry that is older than the hints may come back.
     past_hints: VecDeque<(EndpointId, Option<Life>, ReceivedHints)>,
 }
 
-/// All endpoints, shared by the tasks of a router.
+/// The endpoint table behind a lock, shared by all tasks of a router.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointRegistry {
-    peers: Mutex<EndpointTable>,
-    /// Told whenever something changes that a waiting request may wait for.
+    table: Mutex<EndpointTable>,
+    /// Notified whenever something changes that a waiting request may be waiting for.
     pub(crate) changed: Notify,
 }
 
 impl EndpointRegistry {
     pub(crate) fn lock(&self) -> MutexGuard<'_, EndpointTable> {
-        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what a loader says.
+    /// Applies the state that a loader reports for its endpoint.
     pub(crate) fn apply_state(&self, id: &EndpointId, state: State, engine: Option<&Engine>) {
         let now = Instant::now();
-        let mut peers = self.lock();
-        let stayed = peers.map.get(id).is_some_and(TrackedEndpoint::accepts_work);
-        if peers.map.get_mut(id).is_some_and(|peer| peer.apply_state(state, now)) {
-            peers.forget_incarnation(id);
+        let mut table = self.lock();
+        let accepted = table.map.get(id).is_some_and(TrackedEndpoint::accepts_work);
+        if table.map.get_mut(id).is_some_and(|tracked| tracked.apply_state(state, now)) {
+            table.forget_incarnation(id);
         }
-        if let Some(peer) = peers.map.get(id).filter(|peer| stayed && !peer.accepts_work()) {
-            let (addr, cause) = (peer.endpoint.addr.to_string(), "its loader says so");
+        if let Some(tracked) =
+            table.map.get(id).filter(|tracked| accepted && !tracked.accepts_work())
+        {
+            let (addr, cause) =
+                (tracked.endpoint.addr.to_string(), "its loader reports it as draining");
             emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
         }
-        let peers = &mut *peers;
-        if let Some((state, _)) = peers.map.get(id).and_then(|peer| peer.state.as_ref()) {
-            peers.cold.learn(id, &state.holdings, engine, now);
+        let table = &mut *table;
+        if let Some((state, _)) = table.map.get(id).and_then(|tracked| tracked.state.as_ref()) {
+            table.cold.learn(id, &state.holdings, engine, now);
         }
         self.changed.notify_waiters();
     }
 
-    /// Takes that a loader has nothing new to say but how busy its endpoint is; false if nothing is known from it that
-    /// could be the same.
+    /// Applies a loader's response that only the load of its endpoint has changed. Returns false if no earlier state is known
+    /// that this could refer to.
     pub(crate) fn refresh_load(&self, id: &EndpointId, load: Load) -> bool {
-        let mut peers = self.lock();
+        let mut table = self.lock();
         let same =
-            peers.map.get_mut(id).is_some_and(|peer| peer.refresh_load(load, Instant::now()));
-        drop(peers);
+            table.map.get_mut(id).is_some_and(|tracked| tracked.refresh_load(load, Instant::now()));
+        drop(table);
         self.changed.notify_waiters();
         same
     }
 
-    /// The address of an endpoint and its connections.
+    /// The address of an endpoint and its connection pool.
     pub(crate) fn pool(&self, id: &EndpointId) -> Option<(SocketAddr, Arc<ConnectionPool>)> {
-        self.lock().map.get(id).map(|peer| (peer.endpoint.addr, peer.pool.clone()))
+        self.lock().map.get(id).map(|tracked| (tracked.endpoint.addr, tracked.pool.clone()))
     }
 
-    /// Notes that an endpoint has answered a question.
+    /// Records that an endpoint has answered a probe.
     pub(crate) fn record_report(&self, id: &EndpointId) {
-        if let Some(peer) = self.lock().map.get(id) {
-            peer.pool.liveness().probe_answered(Instant::now(), peer.running == 0);
+        if let Some(tracked) = self.lock().map.get(id) {
+            tracked.pool.liveness().probe_answered(Instant::now(), tracked.running == 0);
         }
         self.changed.notify_waiters();
     }
 
-    /// Notes that a call to an endpoint in one of its lives failed.
+    /// Records a failed call to an incarnation of an endpoint.
     pub(crate) fn record_failure(&self, id: &EndpointId, life: Option<Life>, cause: &str) {
-        let mut peers = self.lock();
-        if peers.map.get(id).is_some_and(|peer| peer.same_incarnation(life)) {
-            peers.pause(id, cause);
+        let mut table = self.lock();
+        if table.map.get(id).is_some_and(|tracked| tracked.same_incarnation(life)) {
+            table.pause(id, cause);
         }
     }
 
-    /// Takes what an answer says of its endpoint, in a life as far as that is known; `same` says whether that is the one that is
-    /// listed now.
+    /// Applies the hints in an endpoint's answer. `life` is the incarnation that answered, if known; `same` tells whether
+    /// the endpoint listed now is the one that answered.
     pub(crate) fn apply_hints(
         &self,
         id: &EndpointId,
@@ -136,64 +141,71 @@
         if notice == Notice::default() {
             return;
         }
-        let after = notice.after.map(|after| after.min(AWAY));
+        let after = notice.after.map(|after| after.min(MAX_BACKOFF));
         let until = after.map(|after| Instant::now() + after);
-        let new = ReceivedHints { leaving: notice.leaving, until, heard: wall_clock() };
-        let mut peers = self.lock();
-        let Some(peer) = peers.map.get_mut(id) else {
-            // An older entry may come back.
-            let said = peers.past_hints(id, life).merge(new);
-            return peers.remember_hints(id, life, said);
+        let new = ReceivedHints {
+            draining: notice.leaving,
+            backoff_until: until,
+            received_at: wall_clock(),
         };
-        if !same(peer) {
+        let mut table = self.lock();
+        let Some(tracked) = table.map.get_mut(id) else {
+            // The endpoint may be listed again by an entry that is older than these hints.
+            let hints = table.past_hints(id, life).merge(new);
+            return table.remember_hints(id, life, hints);
+        };
+        if !same(tracked) {
             return;
         }
-        let stayed = peer.accepts_work();
-        peer.hints = peer.hints.merge(new);
-        if peer.hints.leaving {
-            peer.pool.retire();
+        let accepted = tracked.accepts_work();
+        tracked.hints = tracked.hints.merge(new);
+        if tracked.hints.draining {
+            tracked.pool.retire();
         }
-        if stayed && notice.leaving {
-            let (addr, cause) = (peer.endpoint.addr.to_string(), "it says so in an answer");
+        if accepted && notice.leaving {
+            let (addr, cause) =
+                (tracked.endpoint.addr.to_string(), "it announced that it is draining");
             emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
         }
         if let Some(after) = after {
-            let (pause_ms, cause) = (millis(after), "it wants nothing for so long");
+            let (pause_ms, cause) = (millis(after), "it asked for no requests for this time");
             emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
         }
-        drop(peers);
+        drop(table);
         self.changed.notify_waiters();
     }
 
-    /// Notes whether a stream that ended whole paused for longer than its caller likes.
+    /// Records whether a stream that ended complete stalled for longer than its route allows.
     pub(crate) fn record_stream(&self, paused: bool) {
         let pause_ratio = &mut self.lock().pause_ratio;
-        *pause_ratio += (f64::from(u8::from(paused)) - *pause_ratio) * PAUSE_PART;
+        *pause_ratio += (f64::from(u8::from(paused)) - *pause_ratio) * STREAM_WEIGHT;
     }
 
-    /// Notes that an endpoint answered in one of its lives.
+    /// Records that an incarnation of an endpoint answered.
     pub(crate) fn record_success(&self, id: &EndpointId, life: Option<Life>) {
-        let mut peers = self.lock();
-        if let Some(peer) = peers.map.get_mut(id).filter(|peer| peer.same_incarnation(life)) {
-            peer.consecutive_failures = 0;
-            peer.paused_until = None;
-            peer.recent_failures.worked(Instant::now());
+        let mut table = self.lock();
+        if let Some(tracked) =
+            table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(life))
+        {
+            tracked.consecutive_failures = 0;
+            tracked.paused_until = None;
+            tracked.recent_failures.worked(Instant::now());
         }
     }
 
-    /// Notes that a model is not there, whatever was believed.
+    /// Records that an endpoint does not have a model, whatever its loader or its list entry says.
     pub(crate) fn record_missing_model(
         &self,
         id: &EndpointId,
         life: Option<Life>,
         model: &ModelId,
     ) {
-        let mut peers = self.lock();
-        let peer = peers.map.get_mut(id).filter(|peer| peer.same_incarnation(life));
-        let Some(peer) = peer else { return };
-        let holdings = match &mut peer.state {
+        let mut table = self.lock();
+        let tracked = table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(life));
+        let Some(tracked) = tracked else { return };
+        let holdings = match &mut tracked.state {
             Some((state, _)) => Some(&mut state.holdings),
-            None => peer.endpoint.holdings.as_mut(),
+            None => tracked.endpoint.holdings.as_mut(),
         };
         let Some(holdings) = holdings else { return };
         match &model.adapter {
@@ -208,23 +220,24 @@
 }
 
 impl EndpointTable {
-    /// Whether so many streams pause for too long that prompts are better sent one after another.
+    /// Whether so many streams stall for too long that prompts are better sent to an endpoint one after another.
     pub(crate) fn serialize_prompts(&self) -> bool {
-        self.pause_ratio > PAUSING
+        self.pause_ratio > SERIALIZE_PAUSE_RATIO
     }
 
-    /// Gives an endpoint no requests for a while.
+    /// Sends an endpoint no requests for a while after a failed call.
     fn pause(&mut self, id: &EndpointId, cause: &str) {
-        let Some(peer) = self.map.get_mut(id) else { return };
-        let pause = (PAUSE * (1 << peer.consecutive_failures.min(4))).min(LONGEST);
-        peer.consecutive_failures += 1;
-        peer.recent_failures.failed(Instant::now());
-        peer.paused_until = Some(Instant::now() + pause);
+        let Some(tracked) = self.map.get_mut(id) else { return };
+        let pause = (FIRST_FAILURE_PAUSE * (1 << tracked.consecutive_failures.min(4)))
+            .min(MAX_FAILURE_PAUSE);
+        tracked.consecutive_failures += 1;
+        tracked.recent_failures.failed(Instant::now());
+        tracked.paused_until = Some(Instant::now() + pause);
         let pause_ms = millis(pause);
         emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
     }
 
-    /// Whether a loader may be asked to make room for a model that so many endpoints should hold, which is noted.
+    /// Whether a loader may be asked now to make room for a model that at most `most` endpoints should hold; if so, records it.
     pub(crate) fn may_request_room(
         &mut self,
         model: &ModelName,
@@ -232,37 +245,38 @@
         most: usize,
     ) -> bool {
         let now = Instant::now();
-        let urged = self.room_requests.entry(model.clone()).or_default();
-        urged.retain(|(other, at)| other != id && now - *at < INSIST);
-        if urged.len() >= most.max(1) {
+        let asked = self.room_requests.entry(model.clone()).or_default();
+        asked.retain(|(other, at)| other != id && now - *at < ROOM_REQUEST_INTERVAL);
+        if asked.len() >= most.max(1) {
             return false;
         }
-        urged.push((id.clone(), now));
+        asked.push((id.clone(), now));
         true
     }
 
-    /// What a model asks of its holders.
+    /// The demand for a model.
     pub(crate) fn demand(&mut self, model: &ModelName) -> &mut Demand {
         self.demands.entry(model.clone()).or_default()
     }
 
-    /// The endpoint whose loader was asked for a model that comes from the weight store, and has not answered.
+    /// The endpoint whose loader was asked to load a model from the weight store and has not answered yet.
     pub(crate) fn pending_cold_load(&self, model: &ModelName) -> Option<&EndpointId> {
-        let mut asked = self.map.iter().filter(|(_, peer)| {
-            let open = peer.open_loads.iter().any(|(id, asks)| id.model == *model && asks.open > 0);
+        let mut asked = self.map.iter().filter(|(_, tracked)| {
+            let open =
+                tracked.open_loads.iter().any(|(id, asks)| id.model == *model && asks.open > 0);
             let now = Instant::now();
-            open && peer.holdings(now).is_some_and(|held| held.tier(model) == Tier::Store)
+            open && tracked.holdings(now).is_some_and(|held| held.tier(model) == Tier::Store)
         });
         asked.next().map(|(id, _)| id)
     }
 
-    /// Requests a second that come for a model here.
+    /// Requests per second for a model at this router.
     pub(crate) fn request_rate(&self, model: &ModelName, now: Instant) -> f64 {
         self.demands.get(model).map_or(0.0, |demand| demand.arrivals(now))
     }
 
-    /// How many endpoints should hold a model, of which so much work waits at this router; `slots` are those of one,
-    /// `tight` says whether models wait for room.
+    /// How many replicas a model needs. `waiting` is the number of requests that wait for it at this router and the time their
+    /// prompts take, `slots` the slots of one endpoint, and `tight` whether models wait for accelerator memory.
     pub(crate) fn replicas_needed(
         &self,
         model: &ModelName,
@@ -270,99 +284,106 @@
         waiting: (u32, Duration),
         tight: bool,
     ) -> u32 {
-        let uses = self.map.values().filter_map(|peer| peer.uses.get(model));
+        let uses = self.map.values().filter_map(|tracked| tracked.uses.get(model));
         let running = uses.map(|usage| usage.running).sum();
         let pressure = Pressure { routers: self.routers(), running, slots, waiting, tight };
         let demand = self.demands.get(model).copied().unwrap_or_default();
         demand.holders(&pressure, Instant::now())
     }
 
-    /// Routers, as far as loaders hear them; at least this one.
+    /// The number of routers that the loaders hear from; at least this one.
     fn routers(&self) -> u32 {
         self.reported_routers().unwrap_or(1)
     }
 
-    /// Routers that loaders hear, once one has said so.
+    /// The number of routers that the loaders hear from, once a loader has reported it.
     pub(crate) fn reported_routers(&self) -> Option<u32> {
-        self.map.values().filter(|peer| peer.state.is_some()).map(TrackedEndpoint::routers).max()
+        self.map
+            .values()
+            .filter(|tracked| tracked.state.is_some())
+            .map(TrackedEndpoint::routers)
+            .max()
     }
 
-    /// What is told to a loader: how its models are used.
+    /// Takes the use of an endpoint's models since the last call, to be reported to its loader.
     pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<Use>> {
-        let peer = self.map.get_mut(id)?;
-        let held: Vec<ModelName> = peer.holdings(now).map_or_else(Vec::new, |holdings| {
+        let tracked = self.map.get_mut(id)?;
+        let held: Vec<ModelName> = tracked.holdings(now).map_or_else(Vec::new, |holdings| {
             holdings.models.iter().map(|held| held.model.clone()).collect()
         });
         let uses = held.into_iter().filter_map(|model| {
-            let Usage { begun, running } = peer.uses.remove(&model)?;
+            let Usage { begun, running } = tracked.uses.remove(&model)?;
             if running > 0 {
-                peer.uses.insert(model.clone(), Usage { begun: 0, running });
+                tracked.uses.insert(model.clone(), Usage { begun: 0, running });
             }
             (begun > 0 || running > 0).then_some(Use { model, begun, running })
         });
         Some(uses.collect())
     }
 
-    /// When the first endpoint of a service takes requests again, if all that may have one want nothing for a while.
+    /// The time until the first endpoint of a service takes requests again, if all endpoints that may get one have asked for
+    /// back-off.
     pub(crate) fn service_backoff(
         &self,
         service: &ServiceName,
         tried: &[EndpointId],
         now: Instant,
     ) -> Option<Duration> {
-        let all = self.map.values().filter(|peer| peer.endpoint.service == *service);
-        let staying = all.filter(|peer| peer.accepts_work());
+        let all = self.map.values().filter(|tracked| tracked.endpoint.service == *service);
+        let accepting = all.filter(|tracked| tracked.accepts_work());
         let mut first = None;
-        for peer in staying {
-            match peer.backoff_left(now) {
+        for tracked in accepting {
+            match tracked.backoff_left(now) {
                 Some(left) => first = Some(first.map_or(left, |first: Duration| first.min(left))),
-                None if tried.contains(&peer.endpoint.id) => {}
+                None if tried.contains(&tracked.endpoint.id) => {}
                 None => return None,
             }
         }
         first
     }
 
-    /// When the first holder of a model takes requests again that wants none for a while.
+    /// The time until the first replica of a model that has asked for back-off takes requests again.
     pub(crate) fn replica_backoff(&self, model: &ModelName, now: Instant) -> Option<Duration> {
-        let holds =
-            |peer: &&TrackedEndpoint| peer.holdings(now).is_some_and(|held| held.holds(model));
-        let staying = self.map.values().filter(|peer| peer.accepts_work()).filter(holds);
-        staying.filter_map(|peer| peer.backoff_left(now)).min()
+        let holds = |tracked: &&TrackedEndpoint| {
+            tracked.holdings(now).is_some_and(|held| held.holds(model))
+        };
+        let accepting = self.map.values().filter(|tracked| tracked.accepts_work()).filter(holds);
+        accepting.filter_map(|tracked| tracked.backoff_left(now)).min()
     }
 
-    /// Remembers what an endpoint has said that is not listed any more.
+    /// Remembers the hints of an endpoint that is no longer listed.
     pub(crate) fn remember_hints(
         &mut self,
         id: &EndpointId,
         life: Option<Life>,
-        said: ReceivedHints,
+        hints: ReceivedHints,
     ) {
-        if said == ReceivedHints::default() {
+        if hints == ReceivedHints::default() {
             return;
         }
-        if self.past_hints.len() == LEFT {
+        if self.past_hints.len() == MAX_PAST_HINTS {
             self.past_hints.pop_front();
         }
-        self.past_hints.push_back((id.clone(), life, said));
+        self.past_hints.push_back((id.clone(), life, hints));
     }
 
-    /// What an endpoint has said in this life, if it was listed before.
+    /// The hints of an incarnation of an endpoint that was listed before.
     pub(crate) fn past_hints(&self, id: &EndpointId, life: Option<Life>) -> ReceivedHints {
         let mut all = self.past_hints.iter().rev();
-        let found = all.find(|(other, then, said)| {
-            other == id && (!Life::differ(*then, life) || said.from_incarnation(life))
+        let found = all.find(|(other, then, hints)| {
+            other == id && (!Life::differ(*then, life) || hints.from_incarnation(life))
         });
-        found.map(|(_, _, said)| *said).unwrap_or_default()
+        found.map(|(_, _, hints)| *hints).unwrap_or_default()
     }
 
-    /// Forgets what hangs together with an earlier life of an endpoint.
+    /// Discards what belongs to an earlier incarnation of an endpoint.
     pub(crate) fn forget_incarnation(&mut self, id: &EndpointId) {
         self.cold.forget(id);
-        for urged in self.room_requests.values_mut() {
-            urged.retain(|(other, _)| other != id);
+        for asked in self.room_requests.values_mut() {
+            asked.retain(|(other, _)| other != id);
         }
-        let addr = self.map.get(id).map_or_else(String::new, |peer| peer.endpoint.addr.to_string());
+        let addr =
+            self.map.get(id).map_or_else(String::new, |tracked| tracked.endpoint.addr.to_string());
         emit(&Event::Member { endpoint: id.as_str(), addr, stage: "restarted", cause: "" });
     }
 }
