--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lives of an endpoint.
+//! Tests of what changes when an endpoint restarts.
 
 use fleet::Held;
 use units::Revision;
@@ -37,7 +37,7 @@
     }
 }
 
-/// An endpoint in its first life of which bad things are known.
+/// An endpoint in its first incarnation with failures, a pause, refused and open loads.
 fn troubled(now: Instant) -> TrackedEndpoint {
     let mut tracked = TrackedEndpoint::new(entry(100), now);
     tracked.apply_state(state(100, &["a", "b"]), now);
@@ -56,24 +56,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_of_an_earlier_life_is_left_when_the_list_tells_of_a_new_one() {
+async fn an_earlier_incarnation_is_forgotten_when_the_list_shows_a_new_one() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     let pool = tracked.pool.clone();
     assert!(tracked.apply_entry(Endpoint { holdings: Some(holding(&[])), ..entry(200) }, now));
     assert_new(&tracked, now);
-    assert!(!Arc::ptr_eq(&pool, &tracked.pool), "its connections are gone");
+    assert!(!Arc::ptr_eq(&pool, &tracked.pool), "the connections are new");
     assert!(!tracked.holdings(now).expect("models").holds(&"a".parse().expect("a name")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loader_tells_of_a_new_life_before_the_list_does() {
+async fn a_loader_reports_a_new_incarnation_before_the_list_does() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     assert!(tracked.apply_state(State { load: Load::default(), ..state(200, &["c"]) }, now));
     assert_new(&tracked, now);
     assert!(tracked.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
-    // The list still shows the earlier life, and then the new one.
+    // The list still shows the earlier incarnation, and then the new one.
     assert!(!tracked.apply_entry(entry(100), now));
     assert_eq!(tracked.endpoint.life, Some(Life(200)));
     assert!(!tracked.apply_entry(entry(200), now));
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loader_that_still_speaks_of_the_earlier_life_changes_nothing() {
+async fn a_loader_that_still_reports_the_earlier_incarnation_is_ignored() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     tracked.apply_entry(entry(200), now);
@@ -91,10 +91,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_life_that_seems_to_have_begun_earlier_is_believed_if_the_list_tells_of_it() {
+async fn an_incarnation_that_seems_older_is_accepted_from_the_list() {
     let now = Instant::now();
     let mut tracked = troubled(now);
-    // The endpoint's clock was set back between its lives.
+    // The endpoint's clock was set back between its incarnations.
     assert!(tracked.apply_entry(entry(50), now));
     assert_new(&tracked, now);
     assert!(!tracked.apply_state(State { load: Load::default(), ..state(50, &["c"]) }, now));
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_endpoint_that_does_not_tell_its_lives_apart_is_one() {
+async fn an_endpoint_without_an_incarnation_counts_as_the_known_one() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     assert!(!tracked.apply_entry(Endpoint { life: None, ..entry(0) }, now));
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loader_without_news_renews_what_it_said_but_not_of_an_earlier_life() {
+async fn an_unchanged_report_renews_the_state_but_not_that_of_an_earlier_incarnation() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     let later = now + STATE_LIFETIME;
@@ -125,24 +125,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_an_endpoint_said_of_its_leaving_holds_for_its_life_whatever_else_is_heard() {
+async fn an_endpoint_that_announced_draining_stays_draining_for_its_incarnation() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     tracked.hints.draining = true;
     tracked.apply_entry(entry(100), now);
     assert!(!tracked.accepts_work(), "an older entry");
     tracked.apply_state(state(100, &["a"]), now);
-    assert!(!tracked.accepts_work(), "a loader that knows less");
+    assert!(!tracked.accepts_work(), "a loader that does not know of the draining");
     tracked.apply_entry(Endpoint { addr: ([10, 0, 0, 2], 80).into(), ..entry(100) }, now);
-    assert!(!tracked.accepts_work(), "it has moved");
+    assert!(!tracked.accepts_work(), "another address");
     assert_eq!(tracked.announced_entry().stage, Stage::Draining(None));
     tracked.apply_entry(entry(200), now);
-    assert!(tracked.accepts_work(), "another life");
+    assert!(tracked.accepts_work(), "another incarnation");
 }
 
-/// It started again at 200, said at 300 that it leaves and wants nothing, and then the list told of its life.
+/// The endpoint restarted at 200 and announced at 300 that it is draining and wants no requests, before the list or its
+/// loader showed the new incarnation.
 #[tokio::test(start_paused = true)]
-async fn what_an_endpoint_said_before_its_life_was_known_holds_for_that_life() {
+async fn hints_from_an_incarnation_that_was_not_known_yet_hold_for_it() {
     let now = Instant::now();
     let until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
@@ -162,7 +163,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loader_that_no_longer_says_that_its_endpoint_leaves_does_not_take_it_back() {
+async fn a_loader_that_no_longer_reports_draining_does_not_take_it_back() {
     let now = Instant::now();
     let mut tracked = troubled(now);
     tracked.apply_state(State { draining: true, ..state(100, &["a"]) }, now);
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the list says, against a naive fold of the same records.
+//! Tests of applying the list of endpoints, against a simple fold of the same records.
 
 use std::collections::BTreeMap;
 
@@ -46,13 +46,13 @@
     ListUpdate { whole: true, ..news(read, changes) }
 }
 
-/// What a router would use.
+/// The endpoints that a router knows, with their stages.
 fn stages(known: &EndpointRegistry) -> BTreeMap<EndpointId, Stage> {
     let table = known.lock();
     table.map.iter().map(|(id, tracked)| (id.clone(), tracked.endpoint.stage)).collect()
 }
 
-/// The list after so many records.
+/// The list after these records.
 fn fold(records: &[Change]) -> BTreeMap<EndpointId, Stage> {
     let mut list = BTreeMap::new();
     for record in records {
@@ -72,22 +72,22 @@
     })
 }
 
-/// What happens next to one of two routers.
+/// The next step of one of two routers.
 #[derive(Debug, Clone)]
 enum Step {
-    /// It reads on, up to this part of what there is.
-    Reads(bool, usize),
-    /// It asks the other one.
-    Asks(bool),
-    /// What it read some time ago arrives only now.
-    ReadsLate(bool, usize),
+    /// The router reads up to this many more records.
+    Read(bool, usize),
+    /// The router gets a snapshot from the other one.
+    FetchSnapshot(bool),
+    /// An earlier read of the whole list, up to this record, arrives only now.
+    DelayedRead(bool, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     (any::<bool>(), 0..3, 0..30_usize).prop_map(|(router, kind, amount)| match kind {
-        0 => Step::Reads(router, amount),
-        1 => Step::Asks(router),
-        _ => Step::ReadsLate(router, amount),
+        0 => Step::Read(router, amount),
+        1 => Step::FetchSnapshot(router),
+        _ => Step::DelayedRead(router, amount),
     })
 }
 
@@ -100,7 +100,7 @@
 
 proptest! {
     #[test]
-    fn a_router_knows_just_the_list_at_its_position_whoever_told_it(
+    fn a_router_knows_exactly_the_list_at_its_position_by_reads_and_snapshots(
         records in prop::collection::vec(record(), 1..40),
         steps in prop::collection::vec(step(), 1..40),
     ) {
@@ -112,19 +112,19 @@
         }
         for step in steps {
             match step {
-                Step::Reads(router, amount) => {
+                Step::Read(router, amount) => {
                     let known = &routers[usize::from(router)];
                     let from = usize::try_from(known.lock().list_position.offset.0).expect("short");
                     read_to(known, &records, (from + amount).min(records.len()));
                 }
-                Step::Asks(router) => {
+                Step::FetchSnapshot(router) => {
                     let (asks, told) = (&routers[usize::from(router)], &routers[usize::from(!router)]);
                     let have = Position { read: asks.lock().list_position, ..Position::default() };
                     if let Some(snapshot) = told.snapshot_since(have) {
                         let _ = asks.apply_snapshot(snapshot);
                     }
                 }
-                Step::ReadsLate(router, end) => {
+                Step::DelayedRead(router, end) => {
                     let known = &routers[usize::from(router)];
                     let read = usize::try_from(known.lock().list_position.offset.0).expect("short");
                     let end = end.min(read.saturating_sub(1));
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_may_only_have_lapsed_is_told_as_missing() {
+async fn an_entry_that_may_only_have_lapsed_is_missing_at_other_routers_too() {
     let (known, other) = (EndpointRegistry::default(), EndpointRegistry::default());
     let ready = || vec![seen(0, Stage::Ready), seen(1, Stage::Ready)];
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
@@ -150,15 +150,19 @@
     assert_eq!(known.apply_list(news(3, vec![Change::Gone(id(0))]), Some(until)), [id(0)]);
     let have = Position { read: at(2), ..Position::default() };
     let snapshot = known.snapshot_since(have).expect("it has read the list");
-    assert_eq!(other.apply_snapshot(snapshot), Some(vec![id(0)]), "it is to be asked here too");
+    assert_eq!(
+        other.apply_snapshot(snapshot),
+        Some(vec![id(0)]),
+        "its health is to be checked here too"
+    );
     assert!(other.missing_until(&id(0)).is_some());
-    // Its entry is back.
+    // The entry has come back.
     let _ = other.apply_list(news(4, vec![seen(0, Stage::Ready)]), None);
     assert_eq!(other.missing_until(&id(0)), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_whole_read_does_not_disturb_an_endpoint_whose_address_an_older_entry_has_too() {
+async fn a_whole_read_keeps_the_connections_of_an_endpoint_whose_address_an_older_entry_has_too() {
     let known = EndpointRegistry::default();
     let both = || {
         vec![
@@ -167,15 +171,15 @@
         ]
     };
     let _ = known.apply_list(whole(2, both()), None);
-    let (_, pool) = known.pool(&id(1)).expect("the one that wrote last");
+    let (_, pool) = known.pool(&id(1)).expect("the endpoint that wrote last");
     let _ = known.apply_list(whole(3, both()), None);
-    let (_, after) = known.pool(&id(1)).expect("the one that wrote last");
+    let (_, after) = known.pool(&id(1)).expect("the endpoint that wrote last");
     assert!(std::sync::Arc::ptr_eq(&pool, &after), "its connections stay");
     assert!(known.pool(&id(9)).is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_back_is_not_missing_also_if_it_tells_of_an_earlier_life() {
+async fn an_entry_that_came_back_is_not_missing_even_if_it_shows_an_earlier_incarnation() {
     let known = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
     let _ = known.apply_list(whole(1, vec![seen(0, Stage::Ready)]), None);
@@ -187,7 +191,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_lapsed_and_came_back_within_one_read_is_there() {
+async fn an_endpoint_whose_entry_lapsed_and_came_back_within_one_read_stays_known() {
     let known = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
     let _ = known.apply_list(whole(1, vec![seen(0, Stage::Ready)]), None);
--- a/components/router/src/liveness/tests.rs
+++ b/components/router/src/liveness/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the liveness of life.
+//! Tests of the liveness of endpoints.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_endpoint_that_sends_nothing_stands_still_until_it_does() {
+fn an_endpoint_that_sends_nothing_is_unresponsive_until_it_does() {
     let mut now = Instant::now();
     let mut liveness = Liveness::new(now);
     liveness.request_sent(now);
@@ -19,14 +19,14 @@
     assert_eq!(
         liveness.state(now),
         LivenessState::Unresponsive,
-        "one request more is no sign of life"
+        "another request is no sign that it responds"
     );
     liveness.answer_received(now);
     assert_eq!(liveness.state(now), LivenessState::Responsive);
 }
 
 #[test]
-fn an_endpoint_without_requests_need_not_send_anything() {
+fn an_endpoint_without_requests_stays_responsive() {
     let mut now = Instant::now();
     let mut liveness = Liveness::new(now);
     assert_eq!(liveness.state(later(&mut now, UNRESPONSIVE_AFTER * 9)), LivenessState::Responsive);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_stream_whose_caller_left_since_no_event_came_counts_as_silence() {
+fn a_stream_whose_caller_left_for_lack_of_events_counts_as_silence() {
     let mut now = Instant::now();
     let mut liveness = Liveness::new(now);
     liveness.request_sent(now);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn reports_end_doubt_for_a_while_but_not_for_good() {
+fn answered_probes_keep_an_endpoint_responsive_only_for_a_while() {
     let mut now = Instant::now();
     let mut liveness = Liveness::new(now);
     liveness.request_sent(now);
@@ -79,11 +79,11 @@
     assert_eq!(liveness.state(later(&mut now, PROBE_AFTER * 2)), LivenessState::Doubtful);
     later(&mut now, PROBE_AFTER / 2);
     liveness.probe_answered(now, false);
-    assert_eq!(liveness.state(now), LivenessState::Unresponsive, "only reports came");
+    assert_eq!(liveness.state(now), LivenessState::Unresponsive, "only probes were answered");
 }
 
 #[test]
-fn a_report_of_an_endpoint_whose_callers_have_all_left_ends_its_silence() {
+fn an_answered_probe_of_an_idle_endpoint_ends_its_silence() {
     let mut now = Instant::now();
     let mut liveness = Liveness::new(now);
     liveness.request_sent(now);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn it_is_asked_once_at_a_time() {
+fn an_endpoint_is_probed_once_at_a_time() {
     let mut liveness = Liveness::new(Instant::now());
     assert!(liveness.begin_probe());
     assert!(!liveness.begin_probe());
--- a/components/router/src/loader_task/tests.rs
+++ b/components/router/src/loader_task/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of how loaders are asked.
+//! Tests of how often loaders are polled.
 
 use super::*;
 
 #[test]
-fn all_loaders_together_are_asked_a_bounded_number_of_times_a_second() {
+fn all_loaders_together_are_polled_a_bounded_number_of_times_a_second() {
     assert_eq!(poll_wait(0), MIN_POLL_WAIT);
     assert_eq!(poll_wait(38), MIN_POLL_WAIT);
     assert_eq!(poll_wait(200), Duration::from_secs(5));
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -43,7 +43,7 @@
                 pause / 2
             }
             Some(Health::Unfit) => {
-                return shared.known.remove_missing(&id, "it is unhealthy: it is draining");
+                return shared.known.remove_missing(&id, "it is draining or unhealthy");
             }
             Some(Health::Other) => {
                 return shared.known.remove_missing(&id, "another endpoint is at its address");
