--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -145,11 +145,10 @@
 #[tokio::test(start_paused = true)]
 async fn hints_from_an_incarnation_that_was_not_known_yet_hold_for_it() {
     let now = Instant::now();
-    let until = Some(now + Duration::from_secs(9));
+    let backoff_until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
         let mut tracked = troubled(now);
-        tracked.hints =
-            ReceivedHints { draining: true, backoff_until: until, received_at: Stamp(300) };
+        tracked.hints = ReceivedHints { draining: true, backoff_until, received_at: Stamp(300) };
         if by_loader {
             tracked.apply_state(state(200, &[]), now);
         } else {
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -42,9 +42,7 @@
                 pause *= 2;
                 pause / 2
             }
-            Some(Health::Unfit) => {
-                return shared.known.remove_missing(&id, "it is draining or unhealthy");
-            }
+            Some(Health::Unfit) => return shared.known.remove_missing(&id, "it drains or fails"),
             Some(Health::Other) => {
                 return shared.known.remove_missing(&id, "another endpoint is at its address");
             }
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -142,12 +142,9 @@
             return;
         }
         let after = notice.after.map(|after| after.min(MAX_BACKOFF));
-        let until = after.map(|after| Instant::now() + after);
-        let new = ReceivedHints {
-            draining: notice.leaving,
-            backoff_until: until,
-            received_at: wall_clock(),
-        };
+        let backoff_until = after.map(|after| Instant::now() + after);
+        let new =
+            ReceivedHints { draining: notice.leaving, backoff_until, received_at: wall_clock() };
         let mut table = self.lock();
         let Some(tracked) = table.map.get_mut(id) else {
             // The endpoint may be listed again by an entry that is older than these hints.
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -77,7 +77,7 @@
         match snapshot {
             Ok(Some(snapshot)) => apply(shared, &router.to_string(), snapshot, sent),
             Ok(None) => {}
-            Err(error) => log::debug!("router: {router} newer nothing: {error}"),
+            Err(error) => log::debug!("router: no snapshot from router {router}: {error}"),
         }
     }
 }
