--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -94,14 +94,14 @@
     let at = wall_clock();
     let finding = examine(&shared, &id, life, &pool, since + MAX_EXAMINATION).await;
     let runs: BTreeSet<Digest> = pool.sent_requests().crash_candidates(since);
-    let (crashed, cause) = match finding {
+    let (ended, cause) = match finding {
         Finding::Crashed(cause) => (true, cause),
         Finding::NotCrashed(cause) => (false, cause),
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
         life: life.unwrap_or_default().0,
-        ended: crashed,
+        ended,
         cause,
         requests: runs.len(),
         after_ms: millis(since.elapsed()),
@@ -114,7 +114,7 @@
         at,
         runs,
     });
-    if crashed {
+    if ended {
         return shared.guard.finish_examination(&pool, death);
     }
     pool.sent_requests().clear_candidates();
@@ -157,9 +157,7 @@
         }
         match check_address(shared, id, life, pool.addr()).await {
             Answer::SameIncarnation => return Finding::NotCrashed(STILL_RUNNING),
-            Answer::Replaced => {
-                return Finding::Crashed("another incarnation or endpoint is at its address");
-            }
+            Answer::Replaced => return Finding::Crashed("it was replaced or restarted"),
             Answer::Refused => refused += 1,
             Answer::NoAnswer => refused = 0,
         }
@@ -185,7 +183,7 @@
         None => {
             let replaced = table.map.values().any(|tracked| tracked.endpoint.addr == pool.addr());
             Some(if replaced {
-                Finding::Crashed("another one is listed at its address")
+                Finding::Crashed("another endpoint is listed at its address")
             } else {
                 Finding::NotCrashed("it was removed from the list")
             })
@@ -205,9 +203,9 @@
         Ok(Err(_)) | Err(_) => return Answer::NoAnswer,
         Ok(Ok(_)) => {}
     }
-    let has_loader =
+    let has_models =
         shared.known.lock().map.get(id).is_some_and(|tracked| tracked.endpoint.holdings.is_some());
-    if has_loader {
+    if has_models {
         return match platform::read_report(&shared.client, addr, CHECK_TIMEOUT).await {
             Ok(report) if Life::differ(report.life, life) => Answer::Replaced,
             Ok(_) => Answer::SameIncarnation,
--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -40,7 +40,7 @@
     let mut follower = Follower::new(store.clone(), Topic::Ends);
     let mut lost_since: Option<Instant> = None;
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let wait = if shared.guard.recent_crash() { ALERT_READ_WAIT } else { IDLE_READ_WAIT };
         let next = tokio::select! {
             next = follower.next(if lost_since.is_some() { Duration::ZERO } else { wait }) => next,
@@ -61,7 +61,7 @@
                 }
                 let expired = apply_updates(&shared, batch.news);
                 delete_expired(&store, expired).await;
-                if empty && begun.elapsed() < MIN_READ_INTERVAL {
+                if empty && started.elapsed() < MIN_READ_INTERVAL {
                     tokio::time::sleep(MIN_READ_INTERVAL).await;
                 }
             }
@@ -77,14 +77,14 @@
 
 /// Writes records again that are missing in the copy from which the store was restored. Any router that knows a record may
 /// do so, since the router that wrote it may be gone. Each waits for a random time, so that most find the record written.
-fn write_again(shared: &Arc<Shared>, news: &[News]) {
+fn write_again(shared: &Arc<Shared>, updates: &[News]) {
     let exists = |key: &String| {
-        news.iter().any(
-            |news| matches!(news, News::Own(other, value) if other == key && !value.is_empty()),
+        updates.iter().any(
+            |update| matches!(update, News::Own(other, value) if other == key && !value.is_empty()),
         )
     };
     let missing: Vec<Kept> =
-        shared.guard.recent().into_iter().filter(|kept| !exists(&kept.key)).collect();
+        shared.guard.recent().into_iter().filter(|record| !exists(&record.key)).collect();
     if missing.is_empty() {
         return;
     }
@@ -94,20 +94,20 @@
         let all = Follower::new(shared.store.clone(), Topic::Ends).next(Duration::ZERO).await;
         let written: Vec<News> = all.map(|batch| batch.news).unwrap_or_default();
         let exists = |key: &String| {
-            written.iter().any(|news| matches!(news, News::Own(other, _) if other == key))
+            written.iter().any(|update| matches!(update, News::Own(other, _) if other == key))
         };
-        for kept in missing.into_iter().filter(|kept| !exists(&kept.key)) {
-            shared.guard.queue_write(kept);
+        for record in missing.into_iter().filter(|record| !exists(&record.key)) {
+            shared.guard.queue_write(record);
         }
     });
 }
 
 /// Applies records from the store. Returns the keys of expired ones.
-fn apply_updates(shared: &Shared, news: Vec<News>) -> Vec<String> {
+fn apply_updates(shared: &Shared, updates: Vec<News>) -> Vec<String> {
     let (mut all, mut expired) = (Vec::new(), Vec::new());
     let now = wall_clock();
-    for news in news {
-        let News::Own(key, value) = news else { continue };
+    for update in updates {
+        let News::Own(key, value) = update else { continue };
         // The record was deleted because it had expired.
         if value.is_empty() {
             continue;
@@ -149,11 +149,12 @@
     store: Store,
     mut records: mpsc::UnboundedReceiver<Kept>,
 ) {
-    while let Some(kept) = records.recv().await {
-        let value = serde_json::to_vec(&kept.note).unwrap_or_default();
-        while let Err(error) = store.put(Topic::Ends, &kept.key, &value, None).await {
-            if error.is_final() || Table::stale(&kept.note, wall_clock()) {
-                // A record that the store rejects permanently must not block those after it. Other routers may still get it from this one.
+    while let Some(record) = records.recv().await {
+        let value = serde_json::to_vec(&record.note).unwrap_or_default();
+        while let Err(error) = store.put(Topic::Ends, &record.key, &value, None).await {
+            if error.is_final() || Table::stale(&record.note, wall_clock()) {
+                // A record that the store rejects permanently must not block those after it. Other routers may still get it
+                // from this one.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
                 emit(&Event::Lost { dependency, name: "record", cause: &cause });
                 break;
@@ -167,14 +168,14 @@
 
 /// Sends this router's recent records to all other routers, and applies the ones that they know.
 async fn exchange_with_routers(shared: &Arc<Shared>) {
-    let known = shared.guard.recent();
-    let asked = shared.other_routers().into_iter().map(|router| {
-        let (client, known) = (shared.client.clone(), known.clone());
-        async move { control::exchange_ends(&client, router, &known, ROUTER_TIMEOUT).await }
+    let own = shared.guard.recent();
+    let calls = shared.other_routers().into_iter().map(|router| {
+        let (client, own) = (shared.client.clone(), own.clone());
+        async move { control::exchange_ends(&client, router, &own, ROUTER_TIMEOUT).await }
     });
-    for told in futures_util::future::join_all(asked).await {
-        match told {
-            Ok(told) => drop(shared.guard.apply(&told)),
+    for answer in futures_util::future::join_all(calls).await {
+        match answer {
+            Ok(records) => drop(shared.guard.apply(&records)),
             Err(error) => {
                 log::debug!("router: another router did not exchange crash records: {error}")
             }
@@ -191,10 +192,10 @@
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
     match serde_json::from_slice::<Vec<Kept>>(&bytes) {
-        Ok(told) => {
-            for kept in shared.guard.apply(&told) {
+        Ok(records) => {
+            for record in shared.guard.apply(&records) {
                 // The other router may not reach the store.
-                shared.guard.queue_write(kept);
+                shared.guard.queue_write(record);
             }
             web::json(StatusCode::OK, &shared.guard.recent())
         }
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -161,8 +161,8 @@
         // A store that was restored from a copy may have no configuration.
         *newest = None;
     }
-    for news in batch.news {
-        match news {
+    for update in batch.news {
+        match update {
             News::Config(catalog) => {
                 *newest = Some(catalog.version);
                 fresh |= adopt_catalog(shared, catalog);
@@ -240,8 +240,8 @@
     foreign: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
-    for news in batch.news {
-        match news {
+    for update in batch.news {
+        match update {
             News::Member(change) => {
                 if let Change::Seen(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -123,7 +123,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until a request may be sent, at most until `until`.
+    /// Waits until a request may be sent, at most until `until`. `held` is the permit that the request has already.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         digest: &Digest,
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Permission to send a suspect once as a trial. The caller has agreed on the trial with all routers.
+    /// Permission to send a suspect once as a trial, which the caller has agreed on with all routers. `None` if a request with
+    /// its digest is in flight.
     pub(crate) fn trial_permit(self: &Arc<Self>, digest: &Digest) -> Option<SendPermit> {
         let first = self.lock().turns.insert(*digest);
         first.then(|| SendPermit { turn: Some(self.turn(digest)), isolated: true, trial: true })
@@ -244,14 +245,14 @@
 
     /// Applies a record of this router and has it written to the store.
     pub(crate) fn record(&self, note: Note) {
-        let kept = Kept { key: note.key(&self.router), note };
-        self.apply(std::slice::from_ref(&kept));
-        let _ = self.write.send(kept);
+        let record = Kept { key: note.key(&self.router), note };
+        self.apply(std::slice::from_ref(&record));
+        let _ = self.write.send(record);
     }
 
     /// Has a record from another router written to the store.
-    pub(crate) fn queue_write(&self, kept: Kept) {
-        let _ = self.write.send(kept);
+    pub(crate) fn queue_write(&self, record: Kept) {
+        let _ = self.write.send(record);
     }
 
     /// Applies crash records, and returns those that are new and not expired.
@@ -259,16 +260,16 @@
         let now = wall_clock();
         let mut state = self.lock();
         let before: HashSet<Digest> = state.table.suspects().map(|(digest, _)| *digest).collect();
-        let known: HashSet<&String> = state.recent.iter().map(|kept| &kept.key).collect();
+        let known: HashSet<&String> = state.recent.iter().map(|record| &record.key).collect();
         let fresh: Vec<Kept> = all
             .iter()
-            .filter(|kept| !known.contains(&kept.key) && !Table::stale(&kept.note, now))
+            .filter(|record| !known.contains(&record.key) && !Table::stale(&record.note, now))
             .cloned()
             .collect();
-        if state.table.take(all.iter().map(|kept| &kept.note), now) == 0 {
+        if state.table.take(all.iter().map(|record| &record.note), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|kept| matches!(kept.note, Note::Death(_))) {
+        if fresh.iter().any(|record| matches!(record.note, Note::Death(_))) {
             state.last_crash = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -131,7 +131,7 @@
             // Nothing has changed since.
             return Some(Snapshot { read: table.list_position, ..Snapshot::default() });
         }
-        let (news, kept): (Vec<&TrackedEndpoint>, Vec<&TrackedEndpoint>) =
+        let (changed, unchanged): (Vec<&TrackedEndpoint>, Vec<&TrackedEndpoint>) =
             table.map.values().partition(|tracked| {
                 tracked.list_position > have.read || have.read == StorePosition::default()
             });
@@ -140,8 +140,8 @@
         Some(Snapshot {
             catalog: None,
             missing: missing.map(id).collect(),
-            endpoints: news.into_iter().map(TrackedEndpoint::announced_entry).collect(),
-            kept: kept.into_iter().map(id).collect(),
+            endpoints: changed.into_iter().map(TrackedEndpoint::announced_entry).collect(),
+            kept: unchanged.into_iter().map(id).collect(),
             read: table.list_position,
             proved: None,
         })
--- a/components/router/src/liveness.rs
+++ b/components/router/src/liveness.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a machine hangs during a rush whose callers give up after milliseconds. Whatever is sent to it arrives
 //! when it wakes, long after those callers have left. So silence is counted from the first request that got no answer, even
-//! if its caller has left since, and the endpoint's recovery is detected by a probe, which costs nothing.
+//! if its caller has left since, and the endpoint's recovery is detected by a probe, which costs no request.
 
 use std::time::Duration;
 
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -1,4 +1,4 @@
-//! One task for each loader: it polls the loader for changes, reports the use of its models, and open_loads it to load models.
+//! One task for each loader: it polls the loader for changes, reports the use of its models, and asks it to load models.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -130,7 +130,8 @@
     }
 }
 
-/// Asks the loader of an endpoint for a model, unless it has been asked already and fewer than twice as many requests wait now.
+/// Asks the loader of an endpoint for a model, unless it is being asked already and fewer than twice as many requests wait
+/// for the model since.
 pub(crate) fn request_load(
     shared: &Arc<Shared>,
     id: &EndpointId,
@@ -142,15 +143,15 @@
         let mut table = shared.known.lock();
         waiting = table.waiting.get(&target.model).copied().unwrap_or(0);
         let Some(tracked) = table.map.get_mut(id) else { return };
-        let open_loads = tracked.open_loads.entry(target.clone()).or_default();
+        let loads = tracked.open_loads.entry(target.clone()).or_default();
         if request.urgent {
             waiting = waiting.max(1);
         }
-        if open_loads.open > 0 && waiting < open_loads.waiting.max(1) * 2 {
+        if loads.open > 0 && waiting < loads.waiting.max(1) * 2 {
             return;
         }
-        open_loads.waiting = waiting;
-        open_loads.open += 1;
+        loads.waiting = waiting;
+        loads.open += 1;
         let addr = tracked.endpoint.addr;
         let now = Instant::now();
         let rate = table.request_rate(&target.model, now);
@@ -213,9 +214,9 @@
     let mut table = shared.known.lock();
     table.cold.answered(&id, &target.model);
     if let Some(tracked) = table.map.get_mut(&id) {
-        if let Some(open_loads) = tracked.open_loads.get_mut(&target) {
-            open_loads.open -= 1;
-            if open_loads.open == 0 {
+        if let Some(loads) = tracked.open_loads.get_mut(&target) {
+            loads.open -= 1;
+            if loads.open == 0 {
                 tracked.open_loads.remove(&target);
             }
         }
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -12,9 +12,9 @@
 
 use crate::shared::Shared;
 
-/// How long a read wait_for_limits for changes. Two such wait_for_limits fit into the time for which one read confirms this router's share.
+/// How long a read waits for changes. Two such waits fit into the time for which one read confirms this router's share.
 const READ_WAIT: Duration = Duration::from_millis(2_500);
-/// The shortest time between the starts of two reads: routers write in result, and each call to the store is paid for.
+/// The shortest time between the starts of two reads: routers write in turn, and each call to the store is paid for.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(2_000);
 /// The pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
@@ -72,8 +72,8 @@
 async fn read(shared: &Shared, follower: &mut Follower, wait: Duration) -> Result<(), StoreError> {
     let sent = Moment::now();
     let batch = follower.next(wait).await?;
-    let news = batch.news.into_iter().filter_map(decode).collect();
-    shared.quotas.read(news, batch.whole, sent);
+    let updates = batch.news.into_iter().filter_map(decode).collect();
+    shared.quotas.read(updates, batch.whole, sent);
     Ok(())
 }
 
@@ -91,8 +91,8 @@
 }
 
 /// Parses one record; the record is `None` if it was deleted.
-fn decode(news: News) -> Option<(std::net::SocketAddr, Option<Record>)> {
-    let News::Own(key, value) = news else { return None };
+fn decode(update: News) -> Option<(std::net::SocketAddr, Option<Record>)> {
+    let News::Own(key, value) = update else { return None };
     let bad = |cause: String| {
         let cause = format!("the record `{key}` can't be parsed: {cause}");
         emit(&Event::Unreadable { dependency: Dependency::Roster, cause: &cause });
--- a/components/router/src/sent_requests.rs
+++ b/components/router/src/sent_requests.rs
@@ -6,7 +6,7 @@
 use quarantine::Digest;
 use tokio::time::Instant;
 
-/// A request that crashes its endpoint does so soon after it started to request. One whose answer has been arriving for this
+/// A request that crashes its endpoint does so soon after it started to run. One whose answer has been arriving for this
 /// long is not to blame.
 const CRASH_WINDOW: Duration = Duration::from_secs(3);
 /// Of the requests that were cut or whose callers left, those within this time may have been running when the endpoint
@@ -42,7 +42,7 @@
     last_id: u64,
     /// The number of requests that are isolated from each other by the crash guard.
     pub(crate) isolated: u32,
-    /// Whether the endpoint is being examining for a crash.
+    /// Whether the endpoint is being examined for a crash.
     examining: bool,
 }
 
@@ -55,16 +55,16 @@
     }
 
     /// Records that the answer to a request has begun.
-    pub(crate) fn answer_began(&mut self, ticket: SentRequestId, now: Instant) {
-        let request = self.running.iter_mut().find(|request| request.id == ticket.0);
+    pub(crate) fn answer_began(&mut self, id: SentRequestId, now: Instant) {
+        let request = self.running.iter_mut().find(|request| request.id == id.0);
         if let Some(request) = request {
             request.answer_began.get_or_insert(now);
         }
     }
 
     /// Records that a request is over; `whole` says that the endpoint outlived it or never had it.
-    pub(crate) fn end(&mut self, ticket: SentRequestId, whole: bool, now: Instant) {
-        let Some(index) = self.running.iter().position(|request| request.id == ticket.0) else {
+    pub(crate) fn end(&mut self, id: SentRequestId, whole: bool, now: Instant) {
+        let Some(index) = self.running.iter().position(|request| request.id == id.0) else {
             return;
         };
         let request = self.running.swap_remove(index);
