--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -56,8 +56,8 @@
     SameIncarnation,
     /// Another incarnation or another endpoint is there.
     Replaced,
-    /// No answer.
-    NoAnswer,
+    /// The address does not answer in time.
+    Unreachable,
 }
 
 /// Starts the examination of an incarnation unless one is in progress.
@@ -159,7 +159,7 @@
             Answer::SameIncarnation => return Finding::NotCrashed(STILL_RUNNING),
             Answer::Replaced => return Finding::Crashed("it was replaced or restarted"),
             Answer::Refused => refused += 1,
-            Answer::NoAnswer => refused = 0,
+            Answer::Unreachable => refused = 0,
         }
         if refused >= MIN_REFUSALS {
             return Finding::Crashed("nothing listens at its address");
@@ -200,7 +200,7 @@
 ) -> Answer {
     match tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Answer::Refused,
-        Ok(Err(_)) | Err(_) => return Answer::NoAnswer,
+        Ok(Err(_)) | Err(_) => return Answer::Unreachable,
         Ok(Ok(_)) => {}
     }
     let has_models =
@@ -211,7 +211,7 @@
             Ok(_) => Answer::SameIncarnation,
             Err(error) => {
                 log::debug!("router: {id} did not report whether it is running: {error}");
-                Answer::NoAnswer
+                Answer::Unreachable
             }
         };
     }
@@ -219,6 +219,6 @@
         Some(Health::Other) => Answer::Replaced,
         // The endpoint may have restarted under the same id; the list shows that later.
         Some(Health::Well | Health::Full | Health::Unfit) => Answer::SameIncarnation,
-        None => Answer::NoAnswer,
+        None => Answer::Unreachable,
     }
 }
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -61,7 +61,7 @@
     /// Whether the hints were received after incarnation `life` started, and so came from it although they were recorded for
     /// another one. Answers don't say which incarnation sends them, and an endpoint that has just restarted answers before the
     /// list shows its new incarnation.
-    pub(crate) fn from_incarnation(self, life: Option<Life>) -> bool {
+    pub(crate) fn belong_to(self, life: Option<Life>) -> bool {
         life.is_some_and(|Life(started)| self.received_at.0 > started)
     }
 }
@@ -197,7 +197,7 @@
 
     /// The hints that are known to hold for an incarnation that is seen for the first time.
     fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
-        if self.hints.from_incarnation(life) { self.hints } else { ReceivedHints::default() }
+        if self.hints.belong_to(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether this is the known incarnation, or may be it because either is unknown.
