--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -61,7 +61,7 @@
     /// Whether the hints were received after incarnation `life` started, and so came from it although they were recorded for
     /// another one. Answers don't say which incarnation sends them, and an endpoint that has just restarted answers before the
     /// list shows its new incarnation.
-    pub(crate) fn belong_to(self, life: Option<Life>) -> bool {
+    pub(crate) fn is_from_incarnation(self, life: Option<Life>) -> bool {
         life.is_some_and(|Life(started)| self.received_at.0 > started)
     }
 }
@@ -146,16 +146,16 @@
     pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) -> bool {
         self.missing = None;
         let repeated = endpoint.life == self.listed_incarnation;
-        let other = !self.same_incarnation(endpoint.life);
-        if other && repeated {
+        let different = !self.same_incarnation(endpoint.life);
+        if different && repeated {
             // The loader has reported a later incarnation already.
             return false;
         }
         self.listed_incarnation = endpoint.life;
         self.listed_at = now;
-        if other || endpoint.addr != self.endpoint.addr {
+        if different || endpoint.addr != self.endpoint.addr {
             // An endpoint that has only moved to another address is still draining if it was before.
-            let hints = if other { self.hints_in(endpoint.life) } else { self.hints };
+            let hints = if different { self.hints_in(endpoint.life) } else { self.hints };
             self.restart(endpoint, now);
             self.hints = hints;
             return true;
@@ -167,13 +167,13 @@
 
     /// Applies the state that the loader reported. Returns true if it shows an incarnation that was not known before.
     pub(crate) fn apply_state(&mut self, state: State, now: Instant) -> bool {
-        let other = !self.same_incarnation(state.life);
-        if other && state.life < self.endpoint.life {
+        let different = !self.same_incarnation(state.life);
+        if different && state.life < self.endpoint.life {
             // The loader has not asked the endpoint since the endpoint restarted.
             return false;
         }
         let life = state.life.or(self.endpoint.life);
-        if other {
+        if different {
             let (hints, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
             self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
             self.hints = hints;
@@ -182,7 +182,7 @@
         self.hints.draining |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
-        other
+        different
     }
 
     /// Applies a loader's response that only the load has changed. Returns false if the loader has reported nothing for this
@@ -197,7 +197,7 @@
 
     /// The hints that are known to hold for an incarnation that is seen for the first time.
     fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
-        if self.hints.belong_to(life) { self.hints } else { ReceivedHints::default() }
+        if self.hints.is_from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether this is the known incarnation, or may be it because either is unknown.
@@ -239,8 +239,8 @@
 
     /// The endpoint's entry, as it is passed on to other routers.
     pub(crate) fn announced_entry(&self) -> Endpoint {
-        let leaves = self.hints.draining && self.endpoint.stage == Stage::Ready;
-        let stage = if leaves { Stage::Draining(None) } else { self.endpoint.stage };
+        let draining = self.hints.draining && self.endpoint.stage == Stage::Ready;
+        let stage = if draining { Stage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
 
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -170,8 +170,8 @@
                 })
             }
             Standing::Watched(_) if !has_turn && !state.turns.insert(*digest) => Decision::Wait,
-            Standing::Watched(ends) => {
-                Decision::AllowInTurn { isolated: ends >= MIN_CRASHES_TO_ISOLATE }
+            Standing::Watched(crashes) => {
+                Decision::AllowInTurn { isolated: crashes >= MIN_CRASHES_TO_ISOLATE }
             }
         }
     }
@@ -184,8 +184,9 @@
         let state = self.lock();
         match state.table.standing(digest) {
             Standing::Suspect => false,
-            Standing::Watched(ends)
-                if permit.turn.is_none() || (ends >= MIN_CRASHES_TO_ISOLATE) != permit.isolated =>
+            Standing::Watched(crashes)
+                if permit.turn.is_none()
+                    || (crashes >= MIN_CRASHES_TO_ISOLATE) != permit.isolated =>
             {
                 false
             }
@@ -224,7 +225,7 @@
         // A single crash counts too little for its release to be stored: it is applied at this router only.
         let significant = match standing {
             Standing::Clear => return,
-            Standing::Watched(ends) => ends >= MIN_CRASHES_TO_ISOLATE,
+            Standing::Watched(crashes) => crashes >= MIN_CRASHES_TO_ISOLATE,
             Standing::Suspect => true,
         };
         let note = Note::Release(Release { digest: *digest, at: wall_clock() });
@@ -275,9 +276,10 @@
         state.recent.extend(fresh.iter().cloned());
         let excess = state.recent.len().saturating_sub(MAX_RECENT_RECORDS);
         state.recent.drain(..excess);
-        for (digest, ends) in state.table.suspects().filter(|(digest, _)| !before.contains(digest))
+        for (digest, crashes) in
+            state.table.suspects().filter(|(digest, _)| !before.contains(digest))
         {
-            emit_blamed(digest, true, &format_evidence(ends, now));
+            emit_blamed(digest, true, &format_evidence(crashes, now));
         }
         for digest in before.iter().filter(|digest| state.table.evidence(digest).is_empty()) {
             emit_blamed(digest, false, "");
@@ -305,9 +307,9 @@
     /// All suspected requests.
     pub(crate) fn suspects(&self) -> Vec<Suspect> {
         let state = self.lock();
-        let suspect = |(digest, ends): (&Digest, &[Evidence])| Suspect {
+        let suspect = |(digest, crashes): (&Digest, &[Evidence])| Suspect {
             digest: *digest,
-            ends: ends.to_vec(),
+            ends: crashes.to_vec(),
         };
         state.table.suspects().map(suspect).collect()
     }
@@ -318,12 +320,12 @@
 }
 
 /// The endpoint, incarnation and age of each crash.
-fn format_evidence(ends: &[Evidence], now: Stamp) -> String {
-    let one = |end: &Evidence| {
-        let life = end.life.unwrap_or_default();
-        format!("{} {life} {}ms", end.endpoint, now.since(end.at).as_millis())
+fn format_evidence(crashes: &[Evidence], now: Stamp) -> String {
+    let format_one = |crash: &Evidence| {
+        let life = crash.life.unwrap_or_default();
+        format!("{} {life} {}ms", crash.endpoint, now.since(crash.at).as_millis())
     };
-    ends.iter().map(one).collect::<Vec<_>>().join(", ")
+    crashes.iter().map(format_one).collect::<Vec<_>>().join(", ")
 }
 
 #[cfg(test)]
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -30,7 +30,7 @@
 
 /// Drops entries whose address a later entry has: their endpoints are gone, but stay listed until their entries lapse.
 fn newest_at_each_address(mut changes: Vec<Change>) -> Vec<Change> {
-    let holders: HashMap<SocketAddr, EndpointId> = changes
+    let newest: HashMap<SocketAddr, EndpointId> = changes
         .iter()
         .filter_map(|change| match change {
             Change::Seen(endpoint) => Some((endpoint.addr, endpoint.id.clone())),
@@ -38,7 +38,7 @@
         })
         .collect();
     changes.retain(|change| match change {
-        Change::Seen(endpoint) => holders.get(&endpoint.addr) == Some(&endpoint.id),
+        Change::Seen(endpoint) => newest.get(&endpoint.addr) == Some(&endpoint.id),
         Change::Gone(_) => true,
     });
     changes
@@ -57,8 +57,8 @@
         let changes = newest_at_each_address(update.changes);
         let mut gone = BTreeSet::new();
         if update.whole {
-            let seen: HashSet<&EndpointId> = changes.iter().filter_map(Change::seen).collect();
-            gone.extend(table.map.keys().filter(|id| !seen.contains(id)).cloned());
+            let listed: HashSet<&EndpointId> = changes.iter().filter_map(Change::seen).collect();
+            gone.extend(table.map.keys().filter(|id| !listed.contains(id)).cloned());
         }
         for change in changes {
             match change {
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -30,7 +30,7 @@
     u16::try_from(number).expect("a port")
 }
 
-fn seen(number: usize, stage: Stage) -> Change {
+fn listed(number: usize, stage: Stage) -> Change {
     Change::Seen(Box::new(entry(number, own_port(number), stage)))
 }
 
@@ -38,17 +38,17 @@
     StorePosition { offset: Offset(offset), ..StorePosition::default() }
 }
 
-fn news(read: u64, changes: Vec<Change>) -> ListUpdate {
+fn update(read: u64, changes: Vec<Change>) -> ListUpdate {
     ListUpdate { changes, whole: false, position: at(read) }
 }
 
 fn whole(read: u64, changes: Vec<Change>) -> ListUpdate {
-    ListUpdate { whole: true, ..news(read, changes) }
+    ListUpdate { whole: true, ..update(read, changes) }
 }
 
 /// The endpoints that a router knows, with their stages.
-fn stages(known: &EndpointRegistry) -> BTreeMap<EndpointId, Stage> {
-    let table = known.lock();
+fn stages(registry: &EndpointRegistry) -> BTreeMap<EndpointId, Stage> {
+    let table = registry.lock();
     table.map.iter().map(|(id, tracked)| (id.clone(), tracked.endpoint.stage)).collect()
 }
 
@@ -66,8 +66,8 @@
 
 fn record() -> impl Strategy<Value = Change> {
     (0..IDS, 0..3).prop_map(|(number, kind)| match kind {
-        0 => seen(number, Stage::Ready),
-        1 => seen(number, Stage::Draining(None)),
+        0 => listed(number, Stage::Ready),
+        1 => listed(number, Stage::Draining(None)),
         _ => Change::Gone(id(number)),
     })
 }
@@ -91,10 +91,10 @@
     })
 }
 
-fn read_to(known: &EndpointRegistry, records: &[Change], end: usize) {
-    let from = usize::try_from(known.lock().list_position.offset.0).expect("short");
+fn read_to(registry: &EndpointRegistry, records: &[Change], end: usize) {
+    let from = usize::try_from(registry.lock().list_position.offset.0).expect("short");
     if from <= end {
-        let _ = known.apply_list(news(end as u64, records[from..end].to_vec()), None);
+        let _ = registry.apply_list(update(end as u64, records[from..end].to_vec()), None);
     }
 }
 
@@ -107,33 +107,33 @@
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         let _entered = runtime.enter();
         let routers = [EndpointRegistry::default(), EndpointRegistry::default()];
-        for known in &routers {
-            let _ = known.apply_list(whole(0, Vec::new()), None);
+        for registry in &routers {
+            let _ = registry.apply_list(whole(0, Vec::new()), None);
         }
         for step in steps {
             match step {
                 Step::Read(router, amount) => {
-                    let known = &routers[usize::from(router)];
-                    let from = usize::try_from(known.lock().list_position.offset.0).expect("short");
-                    read_to(known, &records, (from + amount).min(records.len()));
+                    let registry = &routers[usize::from(router)];
+                    let from = usize::try_from(registry.lock().list_position.offset.0).expect("short");
+                    read_to(registry, &records, (from + amount).min(records.len()));
                 }
                 Step::FetchSnapshot(router) => {
-                    let (asks, told) = (&routers[usize::from(router)], &routers[usize::from(!router)]);
-                    let have = Position { read: asks.lock().list_position, ..Position::default() };
-                    if let Some(snapshot) = told.snapshot_since(have) {
-                        let _ = asks.apply_snapshot(snapshot);
+                    let (receiver, sender) = (&routers[usize::from(router)], &routers[usize::from(!router)]);
+                    let have = Position { read: receiver.lock().list_position, ..Position::default() };
+                    if let Some(snapshot) = sender.snapshot_since(have) {
+                        let _ = receiver.apply_snapshot(snapshot);
                     }
                 }
                 Step::DelayedRead(router, end) => {
-                    let known = &routers[usize::from(router)];
-                    let read = usize::try_from(known.lock().list_position.offset.0).expect("short");
+                    let registry = &routers[usize::from(router)];
+                    let read = usize::try_from(registry.lock().list_position.offset.0).expect("short");
                     let end = end.min(read.saturating_sub(1));
-                    let _ = known.apply_list(whole(end as u64, records[..end].to_vec()), None);
+                    let _ = registry.apply_list(whole(end as u64, records[..end].to_vec()), None);
                 }
             }
-            for known in &routers {
-                let read = usize::try_from(known.lock().list_position.offset.0).expect("short");
-                prop_assert_eq!(stages(known), fold(&records[..read]));
+            for registry in &routers {
+                let read = usize::try_from(registry.lock().list_position.offset.0).expect("short");
+                prop_assert_eq!(stages(registry), fold(&records[..read]));
             }
         }
     }
@@ -141,15 +141,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_may_only_have_lapsed_is_missing_at_other_routers_too() {
-    let (known, other) = (EndpointRegistry::default(), EndpointRegistry::default());
-    let ready = || vec![seen(0, Stage::Ready), seen(1, Stage::Ready)];
+    let (registry, other) = (EndpointRegistry::default(), EndpointRegistry::default());
+    let ready = || vec![listed(0, Stage::Ready), listed(1, Stage::Ready)];
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
-    for router in [&known, &other] {
+    for router in [&registry, &other] {
         assert!(router.apply_list(whole(2, ready()), None).is_empty());
     }
-    assert_eq!(known.apply_list(news(3, vec![Change::Gone(id(0))]), Some(until)), [id(0)]);
+    assert_eq!(registry.apply_list(update(3, vec![Change::Gone(id(0))]), Some(until)), [id(0)]);
     let have = Position { read: at(2), ..Position::default() };
-    let snapshot = known.snapshot_since(have).expect("it has read the list");
+    let snapshot = registry.snapshot_since(have).expect("it has read the list");
     assert_eq!(
         other.apply_snapshot(snapshot),
         Some(vec![id(0)]),
@@ -157,47 +157,47 @@
     );
     assert!(other.missing_until(&id(0)).is_some());
     // The entry has come back.
-    let _ = other.apply_list(news(4, vec![seen(0, Stage::Ready)]), None);
+    let _ = other.apply_list(update(4, vec![listed(0, Stage::Ready)]), None);
     assert_eq!(other.missing_until(&id(0)), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_whole_read_keeps_the_connections_of_an_endpoint_whose_address_an_older_entry_has_too() {
-    let known = EndpointRegistry::default();
+    let registry = EndpointRegistry::default();
     let both = || {
         vec![
             Change::Seen(Box::new(entry(9, 80, Stage::Ready))),
             Change::Seen(Box::new(entry(1, 80, Stage::Ready))),
         ]
     };
-    let _ = known.apply_list(whole(2, both()), None);
-    let (_, pool) = known.pool(&id(1)).expect("the endpoint that wrote last");
-    let _ = known.apply_list(whole(3, both()), None);
-    let (_, after) = known.pool(&id(1)).expect("the endpoint that wrote last");
+    let _ = registry.apply_list(whole(2, both()), None);
+    let (_, pool) = registry.pool(&id(1)).expect("the endpoint that wrote last");
+    let _ = registry.apply_list(whole(3, both()), None);
+    let (_, after) = registry.pool(&id(1)).expect("the endpoint that wrote last");
     assert!(std::sync::Arc::ptr_eq(&pool, &after), "its connections stay");
-    assert!(known.pool(&id(9)).is_none());
+    assert!(registry.pool(&id(9)).is_none());
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_came_back_is_not_missing_even_if_it_shows_an_earlier_incarnation() {
-    let known = EndpointRegistry::default();
+    let registry = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
-    let _ = known.apply_list(whole(1, vec![seen(0, Stage::Ready)]), None);
-    let _ = known.apply_list(news(2, vec![Change::Gone(id(0))]), Some(until));
-    known.lock().map.get_mut(&id(0)).expect("known").endpoint.life = Some(units::Life(200));
+    let _ = registry.apply_list(whole(1, vec![listed(0, Stage::Ready)]), None);
+    let _ = registry.apply_list(update(2, vec![Change::Gone(id(0))]), Some(until));
+    registry.lock().map.get_mut(&id(0)).expect("known").endpoint.life = Some(units::Life(200));
     let entry = Endpoint { life: Some(units::Life(100)), ..entry(0, 0, Stage::Ready) };
-    let _ = known.apply_list(news(3, vec![Change::Seen(Box::new(entry))]), None);
-    assert_eq!(known.missing_until(&id(0)), None);
+    let _ = registry.apply_list(update(3, vec![Change::Seen(Box::new(entry))]), None);
+    assert_eq!(registry.missing_until(&id(0)), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_endpoint_whose_entry_lapsed_and_came_back_within_one_read_stays_known() {
-    let known = EndpointRegistry::default();
+    let registry = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
-    let _ = known.apply_list(whole(1, vec![seen(0, Stage::Ready)]), None);
-    let back = vec![Change::Gone(id(0)), seen(0, Stage::Ready)];
+    let _ = registry.apply_list(whole(1, vec![listed(0, Stage::Ready)]), None);
+    let back = vec![Change::Gone(id(0)), listed(0, Stage::Ready)];
     for until in [None, Some(until)] {
-        assert!(known.apply_list(news(3, back.clone()), until).is_empty());
-        assert_eq!(stages(&known), BTreeMap::from([(id(0), Stage::Ready)]));
+        assert!(registry.apply_list(update(3, back.clone()), until).is_empty());
+        assert_eq!(stages(&registry), BTreeMap::from([(id(0), Stage::Ready)]));
     }
 }
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -368,7 +368,7 @@
     pub(crate) fn past_hints(&self, id: &EndpointId, life: Option<Life>) -> ReceivedHints {
         let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, hints)| {
-            other == id && (!Life::differ(*then, life) || hints.belong_to(life))
+            other == id && (!Life::differ(*then, life) || hints.is_from_incarnation(life))
         });
         found.map(|(_, _, hints)| *hints).unwrap_or_default()
     }
