--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use access::{Credential, Denial, Lookup, Proof, Verdict, judge};
+use access::{AccessCheck, AccessDecision, Credential, Denial, Freshness, decide_access};
 use catalog::{Catalog, KeyDigest, Route, Workspace, Workspaces};
 use clock::Moment;
-use control::{DeniedKey, Proved};
+use control::{ConfirmedVersion, DeniedKey};
 use events::{Event, Refusal, emit, millis};
 use http::StatusCode;
 use tokio::sync::{Notify, watch};
@@ -24,7 +24,7 @@
 use crate::shared::{Shared, back_after};
 
 /// The store is not asked more often than this about keys that nobody knows.
-pub(crate) const ASK_PACE: Duration = Duration::from_millis(1_000);
+pub(crate) const MIN_READ_INTERVAL: Duration = Duration::from_millis(1_000);
 /// So many requests wait for that at a time; others are told to come back.
 const WAITING: usize = 64;
 /// The longest that they wait: a read of the store takes some milliseconds.
@@ -37,12 +37,12 @@
 /// What a router knows of keys besides the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Access {
-    proof: watch::Sender<Proof>,
+    proof: watch::Sender<Freshness>,
     revoked: Mutex<HashSet<KeyDigest>>,
     waiting: AtomicUsize,
     denied: Mutex<VecDeque<DeniedKey>>,
     /// Told when the store is to be asked at once.
-    pub(crate) asked: Notify,
+    pub(crate) read_requested: Notify,
 }
 
 /// A caller that was let in.
@@ -72,24 +72,24 @@
     }
 
     /// Takes that a read of the store which was sent then showed that there is no newer configuration.
-    pub(crate) fn prove(&self, sent: Moment) {
-        self.proof.send_modify(|proof| proof.extend(sent));
+    pub(crate) fn record_read(&self, sent: Moment) {
+        self.proof.send_modify(|proof| proof.record_read(sent));
     }
 
     /// Takes the word of another router, asked at a moment, on the configuration that is in force here.
-    pub(crate) fn prove_by_word(&self, sent: Moment, age: Duration) {
-        self.proof.send_modify(|proof| proof.extend_by_word(sent, age));
+    pub(crate) fn record_peer_read(&self, sent: Moment, age: Duration) {
+        self.proof.send_modify(|proof| proof.record_peer_read(sent, age));
     }
 
     /// What another router may take for proved of a version.
-    pub(crate) fn proved(&self, catalog: &Catalog) -> Option<Proved> {
+    pub(crate) fn confirmed_version(&self, catalog: &Catalog) -> Option<ConfirmedVersion> {
         catalog.workspaces.as_ref()?;
         let age = self.proof.borrow().age(Moment::now())?;
-        Some(Proved { version: catalog.version, age })
+        Some(ConfirmedVersion { version: catalog.version, age })
     }
 
     /// Remembers the keys that a new version takes away.
-    pub(crate) fn compare(&self, before: Option<&Workspaces>, after: Option<&Workspaces>) {
+    pub(crate) fn update_revoked(&self, before: Option<&Workspaces>, after: Option<&Workspaces>) {
         let holds = |key: &KeyDigest| after.is_some_and(|after| after.holder(key).is_some());
         let mut revoked = self.revoked();
         revoked.retain(|key| !holds(key));
@@ -101,7 +101,7 @@
     /// Whether keys may be served.
     pub(crate) fn holds(&self, bound: Option<Span>) -> bool {
         let proof = *self.proof.borrow();
-        bound.is_none_or(|Span(bound)| proof.holds(Moment::now(), bound))
+        bound.is_none_or(|Span(bound)| proof.is_fresh(Moment::now(), bound))
     }
 
     /// When callers may come back to a router that has no proof.
@@ -139,7 +139,7 @@
             return false;
         }
         let mut proof = self.proof.subscribe();
-        self.asked.notify_one();
+        self.read_requested.notify_one();
         let read = proof.wait_for(|proof| proof.covers(moment));
         let read = tokio::time::timeout_at(until, read).await.is_ok();
         self.waiting.fetch_sub(1, Ordering::Relaxed);
@@ -171,21 +171,23 @@
         Credential::Key(key) => shared.access.revoked().contains(&key),
         Credential::Absent | Credential::Malformed => false,
     };
-    let lookup = Lookup {
+    let lookup = AccessCheck {
         credential: arrival.credential,
-        open: route.open,
+        anonymous_allowed: route.anonymous_allowed,
         workspaces: catalog.workspaces.as_ref(),
         revoked,
-        proof: *shared.access.proof.borrow(),
-        bound: bound.map(|Span(bound)| bound),
+        freshness: *shared.access.proof.borrow(),
+        revocation_bound: bound.map(|Span(bound)| bound),
         arrived: arrival.arrived,
         now: Moment::now(),
     };
-    match judge(&lookup) {
-        Verdict::Unmanaged => Ok(Some(Identity::Unmanaged)),
-        Verdict::Anonymous => Ok(Some(Identity::Anonymous)),
-        Verdict::Member(workspace) => Ok(Some(Identity::Member(Arc::new(workspace.clone())))),
-        Verdict::Denied(denial) => {
+    match decide_access(&lookup) {
+        AccessDecision::Unmanaged => Ok(Some(Identity::Unmanaged)),
+        AccessDecision::Anonymous => Ok(Some(Identity::Anonymous)),
+        AccessDecision::Member(workspace) => {
+            Ok(Some(Identity::Member(Arc::new(workspace.clone()))))
+        }
+        AccessDecision::Denied(denial) => {
             let cause = match denial {
                 Denial::Missing => "no key",
                 Denial::Malformed => "no key can be read",
@@ -196,7 +198,7 @@
             let status = StatusCode::UNAUTHORIZED;
             Err(Failure { status, cause: Refusal::Unauthorized, after: None })
         }
-        Verdict::Unread => {
+        AccessDecision::NeedsRead => {
             let until = arrival.until.min(Instant::now() + PATIENCE);
             if shared.access.read_since(arrival.arrived, until).await {
                 return Ok(None);
@@ -204,7 +206,7 @@
             tell(shared, catalog, arrival, &lookup, "the store was not read in time");
             Err(unproved(shared))
         }
-        Verdict::Unproved => {
+        AccessDecision::Stale => {
             tell(shared, catalog, arrival, &lookup, "the store was not read for too long");
             Err(unproved(shared))
         }
@@ -221,7 +223,7 @@
     shared: &Shared,
     catalog: &Catalog,
     arrival: &Arrival<'_>,
-    lookup: &Lookup<'_>,
+    lookup: &AccessCheck<'_>,
     cause: &str,
 ) {
     let key = match arrival.credential {
@@ -234,6 +236,6 @@
         key: &key,
         cause,
         version: catalog.version.0,
-        age_ms: lookup.proof.age(lookup.now).map_or(0, millis),
+        age_ms: lookup.freshness.age(lookup.now).map_or(0, millis),
     });
 }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admission::{Outlook, outlook};
+use admission::{Admission, admit};
 use catalog::{Engine, ModelId};
 use fleet::Tier;
-use placement::{Candidate, Holders, Served, Source};
+use placement::{Candidate, ChosenEndpoint, LoadSource, ReplicaStatus};
 use tokio::time::Instant;
 use units::{EndpointId, ServiceName};
 
@@ -52,7 +52,7 @@
 impl Wanted<'_> {
     /// How long its prompt takes to be read.
     fn work(&self, peers: &mut EndpointTable) -> Duration {
-        self.model.map_or(Duration::ZERO, |id| peers.demand(&id.model).work(self.prompt))
+        self.model.map_or(Duration::ZERO, |id| peers.demand(&id.model).prefill_time(self.prompt))
     }
 }
 
@@ -89,7 +89,7 @@
 pub(crate) async fn place(shared: &Arc<Shared>, wanted: Wanted<'_>) -> Result<Place, NoPlace> {
     if let Some(model) = wanted.model {
         let now = Instant::now();
-        shared.known.lock().demand(&model.model).arrived(wanted.prompt, now);
+        shared.known.lock().demand(&model.model).record_arrival(wanted.prompt, now);
     }
     let mut waiting = None;
     loop {
@@ -105,9 +105,9 @@
             Found::Wake(asks) => {
                 let Some(first) = asks.first() else { continue };
                 waiting.get_or_insert_with(|| Waiting::new(shared, &first.target));
-                let outlook = outlook(left, first.expect);
+                let outlook = admit(left, first.expect);
                 // It is asked for in any case: callers that are turned away are told to come back for it.
-                let waits = outlook == Outlook::Wait;
+                let waits = outlook == Admission::Wait;
                 for Ask { id, target, expect, cold } in &asks {
                     let (expect, cold) = (*expect, *cold);
                     let within = if waits { left } else { expect + RETURN };
@@ -121,12 +121,12 @@
                         LoadRequest { urgent, within, expect, cold },
                     );
                 }
-                if let Outlook::Refuse(after) = outlook {
+                if let Admission::Refuse(after) = outlook {
                     return Err(NoPlace::Cold(after));
                 }
             }
             Found::Later(expect) => {
-                if let Outlook::Refuse(after) = outlook(left, expect) {
+                if let Admission::Refuse(after) = admit(left, expect) {
                     return Err(NoPlace::Cold(after));
                 }
             }
@@ -170,7 +170,9 @@
         // All have turned it away, or there is none: nothing to wait for.
         return Found::Nobody;
     }
-    if let Some(served) = placement::serve(&candidates, wanted.model, work, &shared.domain) {
+    if let Some(served) =
+        placement::choose_endpoint(&candidates, wanted.model, work, &shared.domain)
+    {
         if let Some(left) = arriving(&candidates, wanted, served) {
             return Found::Later(left);
         }
@@ -188,7 +190,7 @@
             probe::start(shared, &id, &peers);
             return Found::Later(Duration::ZERO);
         }
-        let times = (work, served.expect);
+        let times = (work, served.first_event);
         let place = Place::take(shared, &mut peers, id, wanted.model, times, wanted.apart, now);
         drop(peers);
         if let Some(Ask { id, target, expect, cold }) = more {
@@ -200,27 +202,33 @@
     let (Some(model), Some(engine)) = (wanted.model, wanted.engine) else {
         return Found::Later(Duration::ZERO);
     };
-    let tight = placement::tight(&candidates);
+    let tight = placement::memory_scarce(&candidates);
     let count = peers.waiting.get(&model.model).copied().unwrap_or(0);
     let most = peers.replicas_needed(&model.model, engine.slots, (count, work * count), tight);
     // What comes from the weight store is asked for at one endpoint, also while its loader waits for a lane.
-    let copied = placement::copied(&candidates, &model.model);
+    let copied = placement::has_copy(&candidates, &model.model);
     let asked = peers.pending_cold_load(&model.model).filter(|_| !copied);
     let asked = asked.and_then(|id| ids.iter().position(|one| one == id));
     let (first, list) = match asked {
         Some(index) => (index, &candidates[index..=index]),
         None => (0, &candidates[..]),
     };
-    let asks: Vec<Ask> = placement::wakes(list, model, engine, Source::First, most as usize)
-        .into_iter()
-        .map(|wake| {
-            // The model first; all adapters of it wait for the same load.
-            let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
-            let target = ModelId { model: model.model.clone(), adapter };
-            let cold = wake.tier == Tier::Store;
-            Ask { id: ids[first + wake.index].clone(), target, expect: wake.expect, cold }
-        })
-        .collect();
+    let asks: Vec<Ask> = placement::choose_load_targets(
+        list,
+        model,
+        engine,
+        LoadSource::CopiesOrStore,
+        most as usize,
+    )
+    .into_iter()
+    .map(|wake| {
+        // The model first; all adapters of it wait for the same load.
+        let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
+        let target = ModelId { model: model.model.clone(), adapter };
+        let cold = wake.tier == Tier::Store;
+        Ask { id: ids[first + wake.index].clone(), target, expect: wake.ready_in, cold }
+    })
+    .collect();
     if let Some(first) = asks.first() {
         // A holder that takes requests again before a copy is elsewhere is waited for.
         let back = peers.replica_backoff(&model.model, now).filter(|left| *left <= first.expect);
@@ -230,7 +238,7 @@
         return Found::Wake(asks);
     }
     // No loader can be asked just now.
-    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.cold);
+    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.store_load);
     Found::Later(if copied { Duration::ZERO } else { cold })
 }
 
@@ -250,16 +258,20 @@
     };
     let candidates: Vec<_> =
         peers.map.values().filter(usable).map(|peer| peer.candidate(false, now)).collect();
-    placement::serve(&candidates, wanted.model, work, &shared.domain)
-        .is_some_and(|served| served.expect < within)
+    placement::choose_endpoint(&candidates, wanted.model, work, &shared.domain)
+        .is_some_and(|served| served.first_event < within)
 }
 
 /// When another holder will be there, if the request is late at those that are and in time at that one.
-fn arriving(candidates: &[Candidate<'_>], wanted: &Wanted<'_>, served: Served) -> Option<Duration> {
+fn arriving(
+    candidates: &[Candidate<'_>],
+    wanted: &Wanted<'_>,
+    served: ChosenEndpoint,
+) -> Option<Duration> {
     let model = &wanted.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
-    let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
-    (served.expect > wanted.target && left < served.expect / 2).then_some(left)
+    let left = loads.filter(|load| load.model == *model).map(|load| load.remaining).min()?;
+    (served.first_event > wanted.target && left < served.first_event / 2).then_some(left)
 }
 
 /// One more endpoint for the model of a request that this one serves.
@@ -267,7 +279,7 @@
     peers: &EndpointTable,
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    served: Served,
+    served: ChosenEndpoint,
 ) -> Option<Ask> {
     let (model, engine) = wanted.model.zip(wanted.engine)?;
     let base = ModelId { model: model.model.clone(), adapter: None };
@@ -275,12 +287,12 @@
         peers.map.get(&one.endpoint.id).is_some_and(|peer| peer.open_loads.contains_key(&base))
     };
     let asked: Vec<bool> = candidates.iter().map(was_asked).collect();
-    let tight = placement::tight(candidates);
+    let tight = placement::memory_scarce(candidates);
     let needed =
         peers.replicas_needed(&base.model, engine.slots, NO_WAITING_REQUESTS, tight) as usize;
     let target = wanted.target;
-    let holders = Holders { model: &base, asked: &asked, needed, served, target };
-    let wake = placement::spread(candidates, engine, &holders)?;
+    let holders = ReplicaStatus { model: &base, asked: &asked, needed, served, target };
+    let wake = placement::scale_out(candidates, engine, &holders)?;
     let id = candidates[wake.index].endpoint.id.clone();
-    Some(Ask { id, target: base, expect: wake.expect, cold: wake.tier == Tier::Store })
+    Some(Ask { id, target: base, expect: wake.ready_in, cold: wake.tier == Tier::Store })
 }
--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -13,10 +13,10 @@
 
 use events::{Event, emit, millis};
 use platform::Health;
-use quarantine::{Death, Digest, Note};
+use quarantine::{Crash, Digest, QuarantineRecord};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
-use units::{EndpointId, Life};
+use units::{EndpointId, EndpointIncarnation};
 
 use crate::guard::wall_clock;
 use crate::pool::ConnectionPool;
@@ -64,7 +64,7 @@
 pub(crate) fn start(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
 ) {
     if !pool.sent_requests().begin_examination() {
@@ -77,7 +77,7 @@
 async fn run_examination(
     shared: Arc<Shared>,
     id: EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: Arc<ConnectionPool>,
 ) {
     let since = Instant::now();
@@ -100,19 +100,19 @@
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
-        life: life.unwrap_or_default().0,
+        incarnation: life.unwrap_or_default().0,
         ended,
         cause,
         requests: runs.len(),
         after_ms: millis(since.elapsed()),
     });
-    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Death {
+    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Crash {
         endpoint: id,
-        life,
+        incarnation: life,
         domain,
-        among,
+        domain_endpoints: among,
         at,
-        runs,
+        requests: runs,
     });
     if ended {
         return shared.guard.finish_examination(&pool, death);
@@ -128,7 +128,7 @@
 /// it is. The requests that it had are retried meanwhile.
 async fn watch_list(
     shared: &Arc<Shared>,
-    death: Death,
+    death: Crash,
     pool: &Arc<ConnectionPool>,
     until: Instant,
 ) {
@@ -136,7 +136,9 @@
         tokio::time::sleep(MAX_PAUSE).await;
         match check_table(shared, &death.endpoint, pool) {
             None => {}
-            Some(Finding::Crashed(_)) => return shared.guard.record(Note::Death(death)),
+            Some(Finding::Crashed(_)) => {
+                return shared.guard.record(QuarantineRecord::Crash(death));
+            }
             Some(Finding::NotCrashed(_)) => return,
         }
     }
@@ -145,7 +147,7 @@
 async fn examine(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
     until: Instant,
 ) -> Finding {
@@ -195,7 +197,7 @@
 async fn check_address(
     shared: &Shared,
     id: &EndpointId,
-    life: Option<Life>,
+    life: Option<EndpointIncarnation>,
     addr: SocketAddr,
 ) -> Answer {
     match tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await {
@@ -206,8 +208,8 @@
     let has_models =
         shared.known.lock().map.get(id).is_some_and(|tracked| tracked.endpoint.holdings.is_some());
     if has_models {
-        return match platform::read_report(&shared.client, addr, CHECK_TIMEOUT).await {
-            Ok(report) if Life::differ(report.life, life) => Answer::Replaced,
+        return match platform::fetch_report(&shared.client, addr, CHECK_TIMEOUT).await {
+            Ok(report) if EndpointIncarnation::differ(report.incarnation, life) => Answer::Replaced,
             Ok(_) => Answer::SameIncarnation,
             Err(error) => {
                 log::debug!("router: {id} did not report whether it is running: {error}");
@@ -215,10 +217,10 @@
             }
         };
     }
-    match shared.health(id, CHECK_TIMEOUT).await {
-        Some(Health::Other) => Answer::Replaced,
+    match shared.check_health(id, CHECK_TIMEOUT).await {
+        Some(Health::OtherInstance) => Answer::Replaced,
         // The endpoint may have restarted under the same id; the list shows that later.
-        Some(Health::Well | Health::Full | Health::Unfit) => Answer::SameIncarnation,
+        Some(Health::Healthy | Health::Overloaded | Health::Unhealthy) => Answer::SameIncarnation,
         None => Answer::Unreachable,
     }
 }
--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control::{Kept, LetGo};
+use control::{KeyedRecord, ReleaseRequest};
 use events::{Dependency, Event, emit, millis};
 use http::{Response, StatusCode};
-use platform::{Follower, News, Put, Store, StoreError, Topic};
-use quarantine::{Digest, Note, Stamp, Table, Trial};
+use platform::{Follower, PutOutcome, Store, StoreError, Topic, Update};
+use quarantine::{CrashTable, Digest, QuarantineRecord, Trial, UnixMillis};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use units::StorePosition;
@@ -37,7 +37,7 @@
 
 /// Reads the records that other routers have written until the process ends.
 pub(crate) async fn read(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store.clone(), Topic::Ends);
+    let mut follower = Follower::new(store.clone(), Topic::CrashRecords);
     let mut lost_since: Option<Instant> = None;
     loop {
         let started = Instant::now();
@@ -45,21 +45,21 @@
         let next = tokio::select! {
             next = follower.next(if lost_since.is_some() { Duration::ZERO } else { wait }) => next,
             // An endpoint may have crashed: other routers' records may be waiting behind a connection that has gone silent.
-            () = shared.guard.possible_crash.notified(), if wait == IDLE_READ_WAIT => continue,
+            () = shared.guard.possible_crash.notified(), if wait == IDLE_READ_WAIT => continue
         };
         match next {
             Ok(batch) => {
-                events::reached(Dependency::Ends);
+                events::record_reached(Dependency::Ends);
                 if let Some(since) = lost_since.take() {
                     let (dependency, after_ms) = (Dependency::Ends, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                shared.ends_read.send_replace(Some(batch.read));
-                let empty = batch.news.is_empty() && !batch.whole;
+                shared.crash_records_position.send_replace(Some(batch.position));
+                let empty = batch.updates.is_empty() && !batch.complete;
                 if batch.restored {
-                    write_again(&shared, &batch.news);
+                    write_again(&shared, &batch.updates);
                 }
-                let expired = apply_updates(&shared, batch.news);
+                let expired = apply_updates(&shared, batch.updates);
                 delete_expired(&store, expired).await;
                 if empty && started.elapsed() < MIN_READ_INTERVAL {
                     tokio::time::sleep(MIN_READ_INTERVAL).await;
@@ -67,7 +67,7 @@
             }
             Err(error) => {
                 record_lost(&mut lost_since, &error);
-                shared.ends_read.send_replace(None);
+                shared.crash_records_position.send_replace(None);
                 exchange_with_routers(&shared).await;
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -77,13 +77,13 @@
 
 /// Writes records again that are missing in the copy from which the store was restored. Any router that knows a record may
 /// do so, since the router that wrote it may be gone. Each waits for a random time, so that most find the record written.
-fn write_again(shared: &Arc<Shared>, updates: &[News]) {
+fn write_again(shared: &Arc<Shared>, updates: &[Update]) {
     let exists = |key: &String| {
         updates.iter().any(
-            |update| matches!(update, News::Own(other, value) if other == key && !value.is_empty()),
+            |update| matches!(update, Update::Record(other, value) if other == key && !value.is_empty())
         )
     };
-    let missing: Vec<Kept> =
+    let missing: Vec<KeyedRecord> =
         shared.guard.recent().into_iter().filter(|record| !exists(&record.key)).collect();
     if missing.is_empty() {
         return;
@@ -91,10 +91,11 @@
     let shared = shared.clone();
     tokio::spawn(async move {
         tokio::time::sleep(MAX_REWRITE_DELAY.mul_f64(rand::random())).await;
-        let all = Follower::new(shared.store.clone(), Topic::Ends).next(Duration::ZERO).await;
-        let written: Vec<News> = all.map(|batch| batch.news).unwrap_or_default();
+        let all =
+            Follower::new(shared.store.clone(), Topic::CrashRecords).next(Duration::ZERO).await;
+        let written: Vec<Update> = all.map(|batch| batch.updates).unwrap_or_default();
         let exists = |key: &String| {
-            written.iter().any(|update| matches!(update, News::Own(other, _) if other == key))
+            written.iter().any(|update| matches!(update, Update::Record(other, _) if other == key))
         };
         for record in missing.into_iter().filter(|record| !exists(&record.key)) {
             shared.guard.queue_write(record);
@@ -103,18 +104,18 @@
 }
 
 /// Applies records from the store. Returns the keys of expired ones.
-fn apply_updates(shared: &Shared, updates: Vec<News>) -> Vec<String> {
+fn apply_updates(shared: &Shared, updates: Vec<Update>) -> Vec<String> {
     let (mut all, mut expired) = (Vec::new(), Vec::new());
     let now = wall_clock();
     for update in updates {
-        let News::Own(key, value) = update else { continue };
+        let Update::Record(key, value) = update else { continue };
         // The record was deleted because it had expired.
         if value.is_empty() {
             continue;
         }
         match serde_json::from_slice(&value) {
-            Ok(note) if Table::stale(&note, now) => expired.push(key),
-            Ok(note) => all.push(Kept { key, note }),
+            Ok(note) if CrashTable::is_expired(&note, now) => expired.push(key),
+            Ok(note) => all.push(KeyedRecord { key, record: note }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be parsed: {error}");
                 emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
@@ -128,7 +129,7 @@
 /// Deletes some expired records, so that they don't accumulate. Several routers may delete the same ones, which does no harm.
 async fn delete_expired(store: &Store, expired: Vec<String>) {
     for key in expired.into_iter().take(MAX_DELETES_PER_READ) {
-        if let Err(error) = store.put(Topic::Ends, &key, &[], None).await {
+        if let Err(error) = store.put(Topic::CrashRecords, &key, &[], None).await {
             log::debug!("router: an expired crash record was not deleted: {error}");
             return;
         }
@@ -147,12 +148,12 @@
 pub(crate) async fn write(
     shared: Arc<Shared>,
     store: Store,
-    mut records: mpsc::UnboundedReceiver<Kept>,
+    mut records: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(record) = records.recv().await {
-        let value = serde_json::to_vec(&record.note).unwrap_or_default();
-        while let Err(error) = store.put(Topic::Ends, &record.key, &value, None).await {
-            if error.is_final() || Table::stale(&record.note, wall_clock()) {
+        let value = serde_json::to_vec(&record.record).unwrap_or_default();
+        while let Err(error) = store.put(Topic::CrashRecords, &record.key, &value, None).await {
+            if error.is_permanent() || CrashTable::is_expired(&record.record, wall_clock()) {
                 // A record that the store rejects permanently must not block those after it. Other routers may still get it
                 // from this one.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
@@ -171,7 +172,7 @@
     let own = shared.guard.recent();
     let calls = shared.other_routers().into_iter().map(|router| {
         let (client, own) = (shared.client.clone(), own.clone());
-        async move { control::exchange_ends(&client, router, &own, ROUTER_TIMEOUT).await }
+        async move { control::exchange_crash_records(&client, router, &own, ROUTER_TIMEOUT).await }
     });
     for answer in futures_util::future::join_all(calls).await {
         match answer {
@@ -191,7 +192,7 @@
     let Ok(bytes) = web::read(request.into_body(), MAX_MESSAGE_BYTES).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<Vec<Kept>>(&bytes) {
+    match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(records) => {
             for record in shared.guard.apply(&records) {
                 // The other router may not reach the store.
@@ -211,11 +212,11 @@
     let Ok(bytes) = web::read(request.into_body(), MAX_MESSAGE_BYTES).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    match serde_json::from_slice::<LetGo>(&bytes) {
-        Ok(LetGo { digest }) if shared.guard.release(&digest) => {
-            web::json(StatusCode::OK, &LetGo { digest })
+    match serde_json::from_slice::<ReleaseRequest>(&bytes) {
+        Ok(ReleaseRequest { digest }) if shared.guard.release(&digest) => {
+            web::json(StatusCode::OK, &ReleaseRequest { digest })
         }
-        Ok(LetGo { digest }) => web::text(
+        Ok(ReleaseRequest { digest }) => web::text(
             StatusCode::NOT_FOUND,
             format!("{digest} is no suspect here; `hyssopctl suspects` lists them\n"),
         ),
@@ -229,14 +230,14 @@
     digest: &Digest,
     number: u32,
 ) -> Option<SendPermit> {
-    let read: Option<StorePosition> = *shared.ends_read.borrow();
-    let at: Stamp = wall_clock();
-    let note = Note::Trial(Trial { digest: *digest, number, at });
+    let read: Option<StorePosition> = *shared.crash_records_position.borrow();
+    let at: UnixMillis = wall_clock();
+    let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
     let key = note.key(&shared.instance);
     let value = serde_json::to_vec(&note).unwrap_or_default();
-    match shared.store.put(Topic::Ends, &key, &value, Some(read?)).await {
-        Ok(Put::Written) => {}
-        Ok(Put::Moved) => return None,
+    match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
+        Ok(PutOutcome::Written) => {}
+        Ok(PutOutcome::Conflict) => return None,
         Err(error) => {
             log::debug!(
                 "router: a suspect is not tried, because the claim can't be written to the store: {error}"
@@ -244,6 +245,6 @@
             return None;
         }
     }
-    shared.guard.apply(&[Kept { key, note }]);
+    shared.guard.apply(&[KeyedRecord { key, record: note }]);
     shared.guard.trial_permit(digest)
 }
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{Load, State};
-use fleet::{Endpoint, Holdings, Stage};
-use placement::{Ahead, Candidate, Trouble};
-use quarantine::Stamp;
+use control::{EndpointLoad, EndpointState};
+use fleet::{Endpoint, EndpointStage, Holdings};
+use placement::{Candidate, PromptBacklog, RecentFailures};
+use quarantine::UnixMillis;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use units::{Life, ModelName, StorePosition};
+use units::{EndpointIncarnation, ModelName, StorePosition};
 
 use crate::liveness::LivenessState;
 use crate::pool::ConnectionPool;
@@ -45,7 +45,7 @@
     /// Until when the endpoint asked this router for no requests.
     pub(crate) backoff_until: Option<Instant>,
     /// When the last hints were received, by this router's wall clock.
-    pub(crate) received_at: Stamp,
+    pub(crate) received_at: UnixMillis,
 }
 
 impl ReceivedHints {
@@ -61,8 +61,8 @@
     /// Whether the hints were received after incarnation `life` started, and so came from it although they were recorded for
     /// another one. Answers don't say which incarnation sends them, and an endpoint that has just restarted answers before the
     /// list shows its new incarnation.
-    pub(crate) fn is_from_incarnation(self, life: Option<Life>) -> bool {
-        life.is_some_and(|Life(started)| self.received_at.0 > started)
+    pub(crate) fn is_from_incarnation(self, life: Option<EndpointIncarnation>) -> bool {
+        life.is_some_and(|EndpointIncarnation(started)| self.received_at.0 > started)
     }
 }
 
@@ -87,7 +87,7 @@
     /// The endpoint in the newest incarnation that the list or its loader has reported.
     pub(crate) endpoint: Endpoint,
     /// The incarnation in the last list entry.
-    listed_incarnation: Option<Life>,
+    listed_incarnation: Option<EndpointIncarnation>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) listed_at: Instant,
     /// The position in the list of the last update of this endpoint's entry.
@@ -97,18 +97,18 @@
     /// Set while the endpoint's list entry is missing.
     pub(crate) missing: Option<MissingEntry>,
     pub(crate) hints: ReceivedHints,
-    pub(crate) state: Option<(State, Instant)>,
+    pub(crate) state: Option<(EndpointState, Instant)>,
     /// Requests of this router at the endpoint when its loader last reported the running requests of all routers.
     pub(crate) running_baseline: u32,
     pub(crate) running: u32,
     /// Prompts of this router's requests that the endpoint has yet to process.
-    pub(crate) backlog: Ahead,
+    pub(crate) backlog: PromptBacklog,
     pub(crate) uses: HashMap<ModelName, Usage>,
     pub(crate) paused_until: Option<Instant>,
     /// Consecutive failed calls.
     pub(crate) consecutive_failures: u32,
     /// Recent failed calls.
-    pub(crate) recent_failures: Trouble,
+    pub(crate) recent_failures: RecentFailures,
     /// Requests to load a model that the loader has not answered yet.
     pub(crate) open_loads: HashMap<ModelId, OpenLoads>,
     pub(crate) refused_until: HashMap<ModelId, Instant>,
@@ -118,7 +118,7 @@
 impl TrackedEndpoint {
     pub(crate) fn new(endpoint: Endpoint, now: Instant) -> Self {
         let pool = Arc::new(ConnectionPool::new(endpoint.addr));
-        let listed_incarnation = endpoint.life;
+        let listed_incarnation = endpoint.incarnation;
         Self {
             endpoint,
             listed_incarnation,
@@ -131,11 +131,11 @@
             state: None,
             running_baseline: 0,
             running: 0,
-            backlog: Ahead::default(),
+            backlog: PromptBacklog::default(),
             uses: HashMap::new(),
             paused_until: None,
             consecutive_failures: 0,
-            recent_failures: Trouble::default(),
+            recent_failures: RecentFailures::default(),
             open_loads: HashMap::new(),
             refused_until: HashMap::new(),
             loader_task: None,
@@ -145,40 +145,40 @@
     /// Applies a list entry. Returns true if it shows an incarnation that was not known before, or a new address.
     pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) -> bool {
         self.missing = None;
-        let repeated = endpoint.life == self.listed_incarnation;
-        let different = !self.same_incarnation(endpoint.life);
+        let repeated = endpoint.incarnation == self.listed_incarnation;
+        let different = !self.same_incarnation(endpoint.incarnation);
         if different && repeated {
             // The loader has reported a later incarnation already.
             return false;
         }
-        self.listed_incarnation = endpoint.life;
+        self.listed_incarnation = endpoint.incarnation;
         self.listed_at = now;
         if different || endpoint.addr != self.endpoint.addr {
             // An endpoint that has only moved to another address is still draining if it was before.
-            let hints = if different { self.hints_in(endpoint.life) } else { self.hints };
+            let hints = if different { self.hints_in(endpoint.incarnation) } else { self.hints };
             self.restart(endpoint, now);
             self.hints = hints;
             return true;
         }
-        let life = endpoint.life.or(self.endpoint.life);
-        self.endpoint = Endpoint { life, ..endpoint };
+        let life = endpoint.incarnation.or(self.endpoint.incarnation);
+        self.endpoint = Endpoint { incarnation: life, ..endpoint };
         false
     }
 
     /// Applies the state that the loader reported. Returns true if it shows an incarnation that was not known before.
-    pub(crate) fn apply_state(&mut self, state: State, now: Instant) -> bool {
-        let different = !self.same_incarnation(state.life);
-        if different && state.life < self.endpoint.life {
+    pub(crate) fn apply_state(&mut self, state: EndpointState, now: Instant) -> bool {
+        let different = !self.same_incarnation(state.incarnation);
+        if different && state.incarnation < self.endpoint.incarnation {
             // The loader has not asked the endpoint since the endpoint restarted.
             return false;
         }
-        let life = state.life.or(self.endpoint.life);
+        let life = state.incarnation.or(self.endpoint.incarnation);
         if different {
             let (hints, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
-            self.restart(Endpoint { life, holdings, ..self.endpoint.clone() }, now);
+            self.restart(Endpoint { incarnation: life, holdings, ..self.endpoint.clone() }, now);
             self.hints = hints;
         }
-        self.endpoint.life = life;
+        self.endpoint.incarnation = life;
         self.hints.draining |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
@@ -187,7 +187,7 @@
 
     /// Applies a loader's response that only the load has changed. Returns false if the loader has reported nothing for this
     /// incarnation.
-    pub(crate) fn refresh_load(&mut self, load: Load, now: Instant) -> bool {
+    pub(crate) fn refresh_load(&mut self, load: EndpointLoad, now: Instant) -> bool {
         let Some((state, heard)) = &mut self.state else { return false };
         state.load = load;
         *heard = now;
@@ -196,13 +196,13 @@
     }
 
     /// The hints that are known to hold for an incarnation that is seen for the first time.
-    fn hints_in(&self, life: Option<Life>) -> ReceivedHints {
+    fn hints_in(&self, life: Option<EndpointIncarnation>) -> ReceivedHints {
         if self.hints.is_from_incarnation(life) { self.hints } else { ReceivedHints::default() }
     }
 
     /// Whether this is the known incarnation, or may be it because either is unknown.
-    pub(crate) fn same_incarnation(&self, life: Option<Life>) -> bool {
-        !Life::differ(life, self.endpoint.life)
+    pub(crate) fn same_incarnation(&self, life: Option<EndpointIncarnation>) -> bool {
+        !EndpointIncarnation::differ(life, self.endpoint.incarnation)
     }
 
     /// Discards what belongs to an earlier incarnation: held models, running requests, connections, pauses and open loads.
@@ -228,7 +228,7 @@
 
     /// Whether the endpoint takes new requests, according to the list, its loader and its own hints.
     pub(crate) fn accepts_work(&self) -> bool {
-        self.endpoint.stage == Stage::Ready && !self.hints.draining
+        self.endpoint.stage == EndpointStage::Ready && !self.hints.draining
     }
 
     /// How much longer the endpoint wants no requests from this router, if it asked for back-off.
@@ -239,8 +239,8 @@
 
     /// The endpoint's entry, as it is passed on to other routers.
     pub(crate) fn announced_entry(&self) -> Endpoint {
-        let draining = self.hints.draining && self.endpoint.stage == Stage::Ready;
-        let stage = if draining { Stage::Draining(None) } else { self.endpoint.stage };
+        let draining = self.hints.draining && self.endpoint.stage == EndpointStage::Ready;
+        let stage = if draining { EndpointStage::Draining(None) } else { self.endpoint.stage };
         Endpoint { stage, ..self.endpoint.clone() }
     }
 
@@ -310,12 +310,12 @@
             endpoint: &self.endpoint,
             holdings: self.holdings(now),
             running: self.running,
-            total: self.total_running(),
-            ahead: self.backlog.all(self.routers(), now),
-            failures: self.recent_failures.failures(now),
-            room: state.map_or(Duration::ZERO, |state| state.room),
-            waiting: state.map_or(0, |state| state.load.waiting),
-            able,
+            total_running: self.total_running(),
+            backlog: self.backlog.total(self.routers(), now),
+            failures: self.recent_failures.count(now),
+            room_wait: state.map_or(Duration::ZERO, |state| state.room_wait),
+            queued_models: state.map_or(0, |state| state.load.waiting),
+            can_load: able,
         }
     }
 
@@ -328,7 +328,7 @@
     pub(crate) fn can_load(&self, now: Instant) -> bool {
         self.state
             .as_ref()
-            .is_some_and(|(state, heard)| state.able && now - *heard < self.state_lifetime())
+            .is_some_and(|(state, heard)| state.can_order && now - *heard < self.state_lifetime())
     }
 }
 
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of what changes when an endpoint restarts.
 
-use fleet::Held;
+use fleet::LoadedModel;
 use units::Revision;
 
 use super::*;
@@ -8,32 +8,33 @@
 fn entry(life: u64) -> Endpoint {
     Endpoint {
         id: "i-1".parse().expect("an id"),
-        life: Some(Life(life)),
+        incarnation: Some(EndpointIncarnation(life)),
         service: "llm".parse().expect("a service"),
         addr: ([10, 0, 0, 1], 80).into(),
         domain: "near".parse().expect("a domain"),
         slots: 16,
-        stage: Stage::Ready,
+        stage: EndpointStage::Ready,
         holdings: Some(holding(&["a"])),
     }
 }
 
 fn holding(models: &[&str]) -> Holdings {
-    let held = |name: &&str| Held { model: name.parse().expect("a name"), adapters: Vec::new() };
+    let held =
+        |name: &&str| LoadedModel { model: name.parse().expect("a name"), adapters: Vec::new() };
     Holdings { models: models.iter().map(held).collect(), ..Holdings::default() }
 }
 
-fn state(life: u64, models: &[&str]) -> State {
-    State {
+fn state(life: u64, models: &[&str]) -> EndpointState {
+    EndpointState {
         version: 1,
         endpoint: None,
-        life: Some(Life(life)),
+        incarnation: Some(EndpointIncarnation(life)),
         holdings: holding(models),
-        load: Load { waiting: 0, running: 7, routers: 2 },
-        room: Duration::ZERO,
-        able: true,
+        load: EndpointLoad { waiting: 0, running: 7, routers: 2 },
+        room_wait: Duration::ZERO,
+        can_order: true,
         draining: false,
-        engine: Revision(1),
+        engine_version: Revision(1),
     }
 }
 
@@ -70,12 +71,17 @@
 async fn a_loader_reports_a_new_incarnation_before_the_list_does() {
     let now = Instant::now();
     let mut tracked = troubled(now);
-    assert!(tracked.apply_state(State { load: Load::default(), ..state(200, &["c"]) }, now));
+    assert!(
+        tracked.apply_state(
+            EndpointState { load: EndpointLoad::default(), ..state(200, &["c"]) },
+            now
+        )
+    );
     assert_new(&tracked, now);
     assert!(tracked.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
     // The list still shows the earlier incarnation, and then the new one.
     assert!(!tracked.apply_entry(entry(100), now));
-    assert_eq!(tracked.endpoint.life, Some(Life(200)));
+    assert_eq!(tracked.endpoint.incarnation, Some(EndpointIncarnation(200)));
     assert!(!tracked.apply_entry(entry(200), now));
     assert!(tracked.holdings(now).expect("models").holds(&"c".parse().expect("a name")));
 }
@@ -97,7 +103,10 @@
     // The endpoint's clock was set back between its incarnations.
     assert!(tracked.apply_entry(entry(50), now));
     assert_new(&tracked, now);
-    assert!(!tracked.apply_state(State { load: Load::default(), ..state(50, &["c"]) }, now));
+    assert!(
+        !tracked
+            .apply_state(EndpointState { load: EndpointLoad::default(), ..state(50, &["c"]) }, now)
+    );
     assert!(tracked.can_load(now));
 }
 
@@ -105,9 +114,12 @@
 async fn an_endpoint_without_an_incarnation_counts_as_the_known_one() {
     let now = Instant::now();
     let mut tracked = troubled(now);
-    assert!(!tracked.apply_entry(Endpoint { life: None, ..entry(0) }, now));
-    assert!(!tracked.apply_state(State { life: None, ..state(0, &["a"]) }, now));
-    assert_eq!((tracked.endpoint.life, tracked.running), (Some(Life(100)), 5));
+    assert!(!tracked.apply_entry(Endpoint { incarnation: None, ..entry(0) }, now));
+    assert!(!tracked.apply_state(EndpointState { incarnation: None, ..state(0, &["a"]) }, now));
+    assert_eq!(
+        (tracked.endpoint.incarnation, tracked.running),
+        (Some(EndpointIncarnation(100)), 5)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -115,10 +127,10 @@
     let now = Instant::now();
     let mut tracked = troubled(now);
     let later = now + STATE_LIFETIME;
-    let load = Load { waiting: 1, running: 9, routers: 3 };
+    let load = EndpointLoad { waiting: 1, running: 9, routers: 3 };
     assert!(tracked.refresh_load(load, later));
     assert!(tracked.can_load(later));
-    assert_eq!((tracked.routers(), tracked.candidate(true, later).waiting), (3, 1));
+    assert_eq!((tracked.routers(), tracked.candidate(true, later).queued_models), (3, 1));
     tracked.apply_entry(entry(200), later);
     assert!(!tracked.refresh_load(load, later));
     assert!(tracked.state.is_none());
@@ -135,7 +147,7 @@
     assert!(!tracked.accepts_work(), "a loader that does not know of the draining");
     tracked.apply_entry(Endpoint { addr: ([10, 0, 0, 2], 80).into(), ..entry(100) }, now);
     assert!(!tracked.accepts_work(), "another address");
-    assert_eq!(tracked.announced_entry().stage, Stage::Draining(None));
+    assert_eq!(tracked.announced_entry().stage, EndpointStage::Draining(None));
     tracked.apply_entry(entry(200), now);
     assert!(tracked.accepts_work(), "another incarnation");
 }
@@ -148,7 +160,8 @@
     let backoff_until = Some(now + Duration::from_secs(9));
     for by_loader in [false, true] {
         let mut tracked = troubled(now);
-        tracked.hints = ReceivedHints { draining: true, backoff_until, received_at: Stamp(300) };
+        tracked.hints =
+            ReceivedHints { draining: true, backoff_until, received_at: UnixMillis(300) };
         if by_loader {
             tracked.apply_state(state(200, &[]), now);
         } else {
@@ -165,7 +178,7 @@
 async fn a_loader_that_no_longer_reports_draining_does_not_take_it_back() {
     let now = Instant::now();
     let mut tracked = troubled(now);
-    tracked.apply_state(State { draining: true, ..state(100, &["a"]) }, now);
+    tracked.apply_state(EndpointState { draining: true, ..state(100, &["a"]) }, now);
     tracked.apply_state(state(100, &["a"]), now);
     assert!(!tracked.accepts_work());
     tracked.apply_state(state(200, &[]), now);
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -7,12 +7,12 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use fleet::Change;
-use platform::{Batch, Follower, News, Store, StoreError, Topic};
+use fleet::EndpointChange;
+use platform::{Batch, Follower, Store, StoreError, Topic, Update};
 use tokio::time::Instant;
 use units::{Revision, Span};
 
-use crate::access::ASK_PACE;
+use crate::access::MIN_READ_INTERVAL;
 use crate::list::{LAPSED_ENTRY_GRACE, ListUpdate};
 use crate::shared::{Feed, Shared};
 use crate::{loader_task, missing};
@@ -56,7 +56,7 @@
     }
 
     fn record_success(&mut self) {
-        events::reached(self.dependency);
+        events::record_reached(self.dependency);
         self.retry_pause = FIRST_RETRY_PAUSE;
         let Some(since) = self.lost_since.take() else { return };
         self.returned_at = Some(Instant::now());
@@ -86,7 +86,7 @@
 fn max_retry_pause(shared: &Shared, bound: Span) -> Duration {
     let longest =
         if shared.away_since().is_some() { MAX_START_RETRY_PAUSE } else { MAX_RETRY_PAUSE };
-    longest.min(read_wait(bound, platform::PATIENCE))
+    longest.min(read_wait(bound, platform::STORE_TIMEOUT))
 }
 
 /// How long a read may wait within `bound` if reads begin `pace` apart.
@@ -112,7 +112,7 @@
             }
         };
         if std::mem::take(&mut asked) {
-            next_ask = Instant::now() + ASK_PACE;
+            next_ask = Instant::now() + MIN_READ_INTERVAL;
         }
         let bounds = shared.settings.borrow().bounds;
         match next {
@@ -121,13 +121,13 @@
                 let fresh = apply_config(&shared, batch, &mut newest);
                 // A store whose newest version is not the one in force, or can't be read, confirms nothing.
                 if newest.is_some() && newest == shared.current().map(|current| current.version) {
-                    shared.access.prove(sent);
+                    shared.access.record_read(sent);
                 }
-                shared.read_store(Feed::Configuration, true);
+                shared.record_store_read(Feed::Configuration, true);
                 tokio::time::sleep(if fresh { CONFIG_READ_INTERVAL } else { Duration::ZERO }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Configuration, false);
+                shared.record_store_read(Feed::Configuration, false);
                 contact.back_off(&error, max_retry_pause(&shared, bounds.apply)).await;
             }
         }
@@ -151,27 +151,27 @@
 /// Waits, from an instant on, for a request with a key that may be newer than the configuration that has been read.
 async fn newer_key_requested(shared: &Shared, from: Instant) {
     tokio::time::sleep_until(from).await;
-    shared.access.asked.notified().await;
+    shared.access.read_requested.notified().await;
 }
 
 /// Applies a read of the configuration. `newest` is the version of the newest record, if that could be read.
 fn apply_config(shared: &Shared, batch: Batch, newest: &mut Option<Revision>) -> bool {
     let mut fresh = false;
-    if batch.whole {
+    if batch.complete {
         // A store that was restored from a copy may have no configuration.
         *newest = None;
     }
-    for update in batch.news {
+    for update in batch.updates {
         match update {
-            News::Config(catalog) => {
+            Update::Config(catalog) => {
                 *newest = Some(catalog.version);
                 fresh |= adopt_catalog(shared, catalog);
             }
-            News::Unreadable(cause) => {
+            Update::InvalidConfig(cause) => {
                 *newest = None;
                 emit(&Event::Unreadable { dependency: Dependency::Configuration, cause: &cause });
             }
-            News::Member(_) | News::Foreign(..) | News::Own(..) => {}
+            Update::Endpoint(_) | Update::InvalidEndpoint(..) | Update::Record(..) => {}
         }
     }
     fresh
@@ -190,7 +190,7 @@
     }
     let routes = catalog.routes().count();
     let known = current.as_ref().and_then(|current| current.workspaces.as_ref());
-    shared.access.compare(known, catalog.workspaces.as_ref());
+    shared.access.update_revoked(known, catalog.workspaces.as_ref());
     shared.catalog.send_replace(Some(Arc::new(catalog)));
     emit(&Event::Configured { version, before, routes });
     shared.known.changed.notify_waiters();
@@ -199,12 +199,12 @@
 
 /// Follows the list of endpoints until the process ends.
 pub(crate) async fn follow_members(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store, Topic::Servers);
+    let mut follower = Follower::new(store, Topic::Endpoints);
     let mut contact = StoreContact::new(Dependency::Membership);
     let mut foreign = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
-        follower.skip(shared.known.lock().list_position);
+        follower.skip_to(shared.known.lock().list_position);
         match follower.next(contact.read_wait(bounds.drain, LIST_READ_INTERVAL)).await {
             Ok(batch) => {
                 contact.record_success();
@@ -212,19 +212,19 @@
                     // Endpoints write their entries again that they had written since the copy was made.
                     contact.returned_at = Some(Instant::now());
                     let (before, read) =
-                        (shared.known.lock().list_position.to_string(), batch.read.to_string());
+                        (shared.known.lock().list_position.to_string(), batch.position.to_string());
                     let (before, read) = (before.as_str(), read.as_str());
                     emit(&Event::Restored { dependency: Dependency::Membership, before, read });
                 }
                 let until = contact.returned_at.map(|returned| returned + LAPSED_ENTRY_GRACE);
-                let more = batch.more;
+                let more = batch.has_more;
                 apply_members(&shared, batch, until, &mut foreign);
-                shared.read_store(Feed::Membership, true);
+                shared.record_store_read(Feed::Membership, true);
                 // Changes that are left after a long time without the store are read without a pause.
                 tokio::time::sleep(if more { Duration::ZERO } else { LIST_READ_INTERVAL }).await;
             }
             Err(error) => {
-                shared.read_store(Feed::Membership, false);
+                shared.record_store_read(Feed::Membership, false);
                 contact.back_off(&error, max_retry_pause(&shared, bounds.drain)).await;
             }
         }
@@ -240,25 +240,25 @@
     foreign: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
-    for update in batch.news {
+    for update in batch.updates {
         match update {
-            News::Member(change) => {
-                if let Change::Seen(endpoint) = &change {
+            Update::Endpoint(change) => {
+                if let EndpointChange::Listed(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
-            News::Foreign(key, cause) => {
+            Update::InvalidEndpoint(key, cause) => {
                 // The invalid entry may have replaced that of an endpoint.
-                changes.extend(key.parse().map(Change::Gone));
+                changes.extend(key.parse().map(EndpointChange::Removed));
                 if foreign.len() < MAX_FOREIGN_KEYS && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
             }
-            News::Config(_) | News::Unreadable(_) | News::Own(..) => {}
+            Update::Config(_) | Update::InvalidConfig(_) | Update::Record(..) => {}
         }
     }
-    let update = ListUpdate { changes, whole: batch.whole, position: batch.read };
+    let update = ListUpdate { changes, whole: batch.complete, position: batch.position };
     let missing = shared.known.apply_list(update, until);
     missing::watch(shared, missing);
     loader_task::start_new(shared);
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -9,9 +9,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use control::{Kept, Suspect};
+use control::{KeyedRecord, Suspect};
 use events::{Event, emit};
-use quarantine::{Death, Digest, Evidence, Note, Release, Stamp, Standing, Table};
+use quarantine::{
+    Crash, CrashTable, Digest, Evidence, QuarantineRecord, Release, SuspicionLevel, UnixMillis,
+};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
@@ -29,19 +31,19 @@
     clippy::disallowed_methods,
     reason = "records outlive their writers, and what depends on their time bears jumps of seconds"
 )]
-pub(crate) fn wall_clock() -> Stamp {
+pub(crate) fn wall_clock() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Stamp(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    UnixMillis(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
 #[derive(Debug, Default)]
 struct GuardState {
-    table: Table,
+    table: CrashTable,
     /// Requests that a crashed endpoint had and that are in flight now: one of each digest at a time.
     turns: HashSet<Digest>,
     /// Connection pools of the incarnations that may have crashed and are being examined.
     examined_pools: Vec<Arc<ConnectionPool>>,
-    recent: VecDeque<Kept>,
+    recent: VecDeque<KeyedRecord>,
     /// When this router last learned of a crash or a possible one.
     last_crash: Option<Instant>,
 }
@@ -63,7 +65,7 @@
     /// Notified when an endpoint may have crashed: other routers may know more.
     pub(crate) possible_crash: Notify,
     /// New crash records of this router, to be written to the store.
-    write: mpsc::UnboundedSender<Kept>,
+    write: mpsc::UnboundedSender<KeyedRecord>,
     router: String,
 }
 
@@ -113,7 +115,7 @@
 
 impl CrashGuard {
     /// Creates a guard without any crash records. The receiver gets the records that are to be written to the store.
-    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(router: String) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let (write, written) = mpsc::unbounded_channel();
         let (state, changed, possible_crash) = Default::default();
         (Self { state, changed, possible_crash, write, router }, written)
@@ -161,16 +163,18 @@
         if state.pending(digest) {
             return Decision::Wait;
         }
-        match state.table.standing(digest) {
-            Standing::Clear => Decision::Allow,
-            Standing::Suspect => {
-                Decision::Rejected(match state.table.trial(digest, wall_clock()) {
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Clear => Decision::Allow,
+            SuspicionLevel::Suspect => {
+                Decision::Rejected(match state.table.due_trial(digest, wall_clock()) {
                     Some(number) => Rejection::TrialDue(number),
                     None => Rejection::Suspect,
                 })
             }
-            Standing::Watched(_) if !has_turn && !state.turns.insert(*digest) => Decision::Wait,
-            Standing::Watched(crashes) => {
+            SuspicionLevel::Watched(_) if !has_turn && !state.turns.insert(*digest) => {
+                Decision::Wait
+            }
+            SuspicionLevel::Watched(crashes) => {
                 Decision::AllowInTurn { isolated: crashes >= MIN_CRASHES_TO_ISOLATE }
             }
         }
@@ -182,15 +186,15 @@
             return true;
         }
         let state = self.lock();
-        match state.table.standing(digest) {
-            Standing::Suspect => false,
-            Standing::Watched(crashes)
+        match state.table.suspicion(digest) {
+            SuspicionLevel::Suspect => false,
+            SuspicionLevel::Watched(crashes)
                 if permit.turn.is_none()
                     || (crashes >= MIN_CRASHES_TO_ISOLATE) != permit.isolated =>
             {
                 false
             }
-            Standing::Watched(_) | Standing::Clear => !state.pending(digest),
+            SuspicionLevel::Watched(_) | SuspicionLevel::Clear => !state.pending(digest),
         }
     }
 
@@ -211,9 +215,9 @@
     }
 
     /// Ends the examination of an incarnation; `death` is the crash, if it is one.
-    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Death>) {
+    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Crash>) {
         if let Some(death) = death {
-            self.record(Note::Death(death));
+            self.record(QuarantineRecord::Crash(death));
         }
         self.lock().examined_pools.retain(|other| !Arc::ptr_eq(other, pool));
         self.changed.notify_waiters();
@@ -221,56 +225,58 @@
 
     /// A request ran to its end: earlier crashes of endpoints that had it no longer count against it.
     pub(crate) fn record_completion(&self, digest: &Digest) {
-        let standing = self.lock().table.standing(digest);
+        let standing = self.lock().table.suspicion(digest);
         // A single crash counts too little for its release to be stored: it is applied at this router only.
         let significant = match standing {
-            Standing::Clear => return,
-            Standing::Watched(crashes) => crashes >= MIN_CRASHES_TO_ISOLATE,
-            Standing::Suspect => true,
+            SuspicionLevel::Clear => return,
+            SuspicionLevel::Watched(crashes) => crashes >= MIN_CRASHES_TO_ISOLATE,
+            SuspicionLevel::Suspect => true,
         };
-        let note = Note::Release(Release { digest: *digest, at: wall_clock() });
+        let note = QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() });
         if significant {
             return self.record(note);
         }
-        self.apply(&[Kept { key: note.key(&self.router), note }]);
+        self.apply(&[KeyedRecord { key: note.key(&self.router), record: note }]);
     }
 
     /// Releases a suspect on an operator's request. Returns false if the request is no suspect.
     pub(crate) fn release(&self, digest: &Digest) -> bool {
-        let suspect = self.lock().table.standing(digest) == Standing::Suspect;
+        let suspect = self.lock().table.suspicion(digest) == SuspicionLevel::Suspect;
         if suspect {
-            self.record(Note::Release(Release { digest: *digest, at: wall_clock() }));
+            self.record(QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() }));
         }
         suspect
     }
 
     /// Applies a record of this router and has it written to the store.
-    pub(crate) fn record(&self, note: Note) {
-        let record = Kept { key: note.key(&self.router), note };
+    pub(crate) fn record(&self, note: QuarantineRecord) {
+        let record = KeyedRecord { key: note.key(&self.router), record: note };
         self.apply(std::slice::from_ref(&record));
         let _ = self.write.send(record);
     }
 
     /// Has a record from another router written to the store.
-    pub(crate) fn queue_write(&self, record: Kept) {
+    pub(crate) fn queue_write(&self, record: KeyedRecord) {
         let _ = self.write.send(record);
     }
 
     /// Applies crash records, and returns those that are new and not expired.
-    pub(crate) fn apply(&self, all: &[Kept]) -> Vec<Kept> {
+    pub(crate) fn apply(&self, all: &[KeyedRecord]) -> Vec<KeyedRecord> {
         let now = wall_clock();
         let mut state = self.lock();
         let before: HashSet<Digest> = state.table.suspects().map(|(digest, _)| *digest).collect();
         let known: HashSet<&String> = state.recent.iter().map(|record| &record.key).collect();
-        let fresh: Vec<Kept> = all
+        let fresh: Vec<KeyedRecord> = all
             .iter()
-            .filter(|record| !known.contains(&record.key) && !Table::stale(&record.note, now))
+            .filter(|record| {
+                !known.contains(&record.key) && !CrashTable::is_expired(&record.record, now)
+            })
             .cloned()
             .collect();
-        if state.table.take(all.iter().map(|record| &record.note), now) == 0 {
+        if state.table.apply(all.iter().map(|record| &record.record), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|record| matches!(record.note, Note::Death(_))) {
+        if fresh.iter().any(|record| matches!(record.record, QuarantineRecord::Crash(_))) {
             state.last_crash = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
@@ -290,7 +296,7 @@
     }
 
     /// The crash records that this router has learned of recently.
-    pub(crate) fn recent(&self) -> Vec<Kept> {
+    pub(crate) fn recent(&self) -> Vec<KeyedRecord> {
         self.lock().recent.iter().cloned().collect()
     }
 
@@ -309,7 +315,7 @@
         let state = self.lock();
         let suspect = |(digest, crashes): (&Digest, &[Evidence])| Suspect {
             digest: *digest,
-            ends: crashes.to_vec(),
+            crashes: crashes.to_vec(),
         };
         state.table.suspects().map(suspect).collect()
     }
@@ -320,9 +326,9 @@
 }
 
 /// The endpoint, incarnation and age of each crash.
-fn format_evidence(crashes: &[Evidence], now: Stamp) -> String {
+fn format_evidence(crashes: &[Evidence], now: UnixMillis) -> String {
     let format_one = |crash: &Evidence| {
-        let life = crash.life.unwrap_or_default();
+        let life = crash.incarnation.unwrap_or_default();
         format!("{} {life} {}ms", crash.endpoint, now.since(crash.at).as_millis())
     };
     crashes.iter().map(format_one).collect::<Vec<_>>().join(", ")
--- a/components/router/src/guard/tests.rs
+++ b/components/router/src/guard/tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quarantine::{Death, Digest, Note, Stamp};
+use quarantine::{Crash, Digest, QuarantineRecord, UnixMillis};
 use tokio::time::Instant;
 
 use super::{CrashGuard, Rejection, SendPermit, wall_clock};
@@ -19,13 +19,13 @@
 
 /// An endpoint crashed with these requests.
 fn crash(guard: &CrashGuard, number: u32, runs: &[&str]) {
-    guard.record(Note::Death(Death {
+    guard.record(QuarantineRecord::Crash(Crash {
         endpoint: format!("i-{number}").parse().expect("an id"),
-        life: None,
+        incarnation: None,
         domain: "near".parse().expect("a domain"),
-        among: 9,
-        at: Stamp(wall_clock().0 - 10_000 + u64::from(number) * 500),
-        runs: runs.iter().map(|name| digest(name)).collect(),
+        domain_endpoints: 9,
+        at: UnixMillis(wall_clock().0 - 10_000 + u64::from(number) * 500),
+        requests: runs.iter().map(|name| digest(name)).collect(),
     }));
 }
 
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -7,7 +7,7 @@
 
 use control::{Position, Snapshot};
 use events::{Event, emit};
-use fleet::{Change, Endpoint, Stage};
+use fleet::{Endpoint, EndpointChange, EndpointStage};
 use tokio::time::Instant;
 use units::{EndpointId, StorePosition};
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct ListUpdate {
     /// The changes, oldest first.
-    pub(crate) changes: Vec<Change>,
+    pub(crate) changes: Vec<EndpointChange>,
     /// Whether this is the whole list, so that endpoints without an entry here are gone.
     pub(crate) whole: bool,
     /// The position up to which the list has been read.
@@ -29,17 +29,17 @@
 }
 
 /// Drops entries whose address a later entry has: their endpoints are gone, but stay listed until their entries lapse.
-fn newest_at_each_address(mut changes: Vec<Change>) -> Vec<Change> {
+fn newest_at_each_address(mut changes: Vec<EndpointChange>) -> Vec<EndpointChange> {
     let newest: HashMap<SocketAddr, EndpointId> = changes
         .iter()
         .filter_map(|change| match change {
-            Change::Seen(endpoint) => Some((endpoint.addr, endpoint.id.clone())),
-            Change::Gone(_) => None,
+            EndpointChange::Listed(endpoint) => Some((endpoint.addr, endpoint.id.clone())),
+            EndpointChange::Removed(_) => None,
         })
         .collect();
     changes.retain(|change| match change {
-        Change::Seen(endpoint) => newest.get(&endpoint.addr) == Some(&endpoint.id),
-        Change::Gone(_) => true,
+        EndpointChange::Listed(endpoint) => newest.get(&endpoint.addr) == Some(&endpoint.id),
+        EndpointChange::Removed(_) => true,
     });
     changes
 }
@@ -57,17 +57,18 @@
         let changes = newest_at_each_address(update.changes);
         let mut gone = BTreeSet::new();
         if update.whole {
-            let listed: HashSet<&EndpointId> = changes.iter().filter_map(Change::seen).collect();
+            let listed: HashSet<&EndpointId> =
+                changes.iter().filter_map(EndpointChange::listed).collect();
             gone.extend(table.map.keys().filter(|id| !listed.contains(id)).cloned());
         }
         for change in changes {
             match change {
-                Change::Seen(endpoint) => {
+                EndpointChange::Listed(endpoint) => {
                     // The entry may have lapsed and come back within one read.
                     gone.remove(&endpoint.id);
                     table.upsert(*endpoint, update.position, now);
                 }
-                Change::Gone(id) => {
+                EndpointChange::Removed(id) => {
                     gone.insert(id);
                 }
             }
@@ -91,7 +92,7 @@
     /// Applies what another router knows of the list, unless this one has read further. Returns the endpoints whose entries are
     /// missing; their health is to be checked.
     pub(crate) fn apply_snapshot(&self, snapshot: Snapshot) -> Option<Vec<EndpointId>> {
-        let Snapshot { endpoints, kept, missing, read, .. } = snapshot;
+        let Snapshot { endpoints, unchanged: kept, missing, read, .. } = snapshot;
         let mut table = self.lock();
         if table.list_loaded && read <= table.list_position {
             return None;
@@ -141,9 +142,9 @@
             catalog: None,
             missing: missing.map(id).collect(),
             endpoints: changed.into_iter().map(TrackedEndpoint::announced_entry).collect(),
-            kept: unchanged.into_iter().map(id).collect(),
+            unchanged: unchanged.into_iter().map(id).collect(),
             read: table.list_position,
-            proved: None,
+            confirmed: None,
         })
     }
 
@@ -184,10 +185,10 @@
         for id in same_addr {
             self.remove(&id, "another endpoint is at its address");
         }
-        let stage = if endpoint.stage == Stage::Ready { "ready" } else { "draining" };
+        let stage = if endpoint.stage == EndpointStage::Ready { "ready" } else { "draining" };
         let id = endpoint.id.clone();
         let addr = endpoint.addr.to_string();
-        let hints = self.past_hints(&id, endpoint.life);
+        let hints = self.past_hints(&id, endpoint.incarnation);
         let before = match self.map.entry(id.clone()) {
             Entry::Vacant(place) => {
                 place.insert(TrackedEndpoint::new(endpoint, now)).hints = hints;
@@ -204,7 +205,7 @@
         if let Some(tracked) = self.map.get_mut(&id) {
             tracked.list_position = read;
         }
-        if before.is_none_or(|before| (before == Stage::Ready) != (stage == "ready")) {
+        if before.is_none_or(|before| (before == EndpointStage::Ready) != (stage == "ready")) {
             emit(&Event::Member { endpoint: id.as_str(), addr, stage, cause: "" });
         }
     }
@@ -223,8 +224,8 @@
 
     fn remove(&mut self, id: &EndpointId, cause: &str) {
         let Some(tracked) = self.map.remove(id) else { return };
-        self.remember_hints(id, tracked.endpoint.life, tracked.hints);
-        self.cold.forget(id);
+        self.remember_hints(id, tracked.endpoint.incarnation, tracked.hints);
+        self.cold.remove_endpoint(id);
         if let Some(task) = tracked.loader_task {
             task.abort();
         }
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -13,10 +13,10 @@
     format!("i-{number}").parse().expect("an id")
 }
 
-fn entry(number: usize, port: u16, stage: Stage) -> Endpoint {
+fn entry(number: usize, port: u16, stage: EndpointStage) -> Endpoint {
     Endpoint {
         id: id(number),
-        life: None,
+        incarnation: None,
         service: "app".parse().expect("a service"),
         addr: ([10, 0, 0, 1], port).into(),
         domain: "near".parse().expect("a domain"),
@@ -30,45 +30,45 @@
     u16::try_from(number).expect("a port")
 }
 
-fn listed(number: usize, stage: Stage) -> Change {
-    Change::Seen(Box::new(entry(number, own_port(number), stage)))
+fn listed(number: usize, stage: EndpointStage) -> EndpointChange {
+    EndpointChange::Listed(Box::new(entry(number, own_port(number), stage)))
 }
 
 fn at(offset: u64) -> StorePosition {
     StorePosition { offset: Offset(offset), ..StorePosition::default() }
 }
 
-fn update(read: u64, changes: Vec<Change>) -> ListUpdate {
+fn update(read: u64, changes: Vec<EndpointChange>) -> ListUpdate {
     ListUpdate { changes, whole: false, position: at(read) }
 }
 
-fn whole(read: u64, changes: Vec<Change>) -> ListUpdate {
+fn whole(read: u64, changes: Vec<EndpointChange>) -> ListUpdate {
     ListUpdate { whole: true, ..update(read, changes) }
 }
 
 /// The endpoints that a router knows, with their stages.
-fn stages(registry: &EndpointRegistry) -> BTreeMap<EndpointId, Stage> {
+fn stages(registry: &EndpointRegistry) -> BTreeMap<EndpointId, EndpointStage> {
     let table = registry.lock();
     table.map.iter().map(|(id, tracked)| (id.clone(), tracked.endpoint.stage)).collect()
 }
 
 /// The list after these records.
-fn fold(records: &[Change]) -> BTreeMap<EndpointId, Stage> {
+fn fold(records: &[EndpointChange]) -> BTreeMap<EndpointId, EndpointStage> {
     let mut list = BTreeMap::new();
     for record in records {
         match record {
-            Change::Seen(endpoint) => list.insert(endpoint.id.clone(), endpoint.stage),
-            Change::Gone(id) => list.remove(id),
+            EndpointChange::Listed(endpoint) => list.insert(endpoint.id.clone(), endpoint.stage),
+            EndpointChange::Removed(id) => list.remove(id),
         };
     }
     list
 }
 
-fn record() -> impl Strategy<Value = Change> {
+fn record() -> impl Strategy<Value = EndpointChange> {
     (0..IDS, 0..3).prop_map(|(number, kind)| match kind {
-        0 => listed(number, Stage::Ready),
-        1 => listed(number, Stage::Draining(None)),
-        _ => Change::Gone(id(number)),
+        0 => listed(number, EndpointStage::Ready),
+        1 => listed(number, EndpointStage::Draining(None)),
+        _ => EndpointChange::Removed(id(number)),
     })
 }
 
@@ -91,7 +91,7 @@
     })
 }
 
-fn read_to(registry: &EndpointRegistry, records: &[Change], end: usize) {
+fn read_to(registry: &EndpointRegistry, records: &[EndpointChange], end: usize) {
     let from = usize::try_from(registry.lock().list_position.offset.0).expect("short");
     if from <= end {
         let _ = registry.apply_list(update(end as u64, records[from..end].to_vec()), None);
@@ -102,7 +102,7 @@
     #[test]
     fn a_router_knows_exactly_the_list_at_its_position_by_reads_and_snapshots(
         records in prop::collection::vec(record(), 1..40),
-        steps in prop::collection::vec(step(), 1..40),
+        steps in prop::collection::vec(step(), 1..40)
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         let _entered = runtime.enter();
@@ -142,12 +142,15 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_may_only_have_lapsed_is_missing_at_other_routers_too() {
     let (registry, other) = (EndpointRegistry::default(), EndpointRegistry::default());
-    let ready = || vec![listed(0, Stage::Ready), listed(1, Stage::Ready)];
+    let ready = || vec![listed(0, EndpointStage::Ready), listed(1, EndpointStage::Ready)];
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
     for router in [&registry, &other] {
         assert!(router.apply_list(whole(2, ready()), None).is_empty());
     }
-    assert_eq!(registry.apply_list(update(3, vec![Change::Gone(id(0))]), Some(until)), [id(0)]);
+    assert_eq!(
+        registry.apply_list(update(3, vec![EndpointChange::Removed(id(0))]), Some(until)),
+        [id(0)]
+    );
     let have = Position { read: at(2), ..Position::default() };
     let snapshot = registry.snapshot_since(have).expect("it has read the list");
     assert_eq!(
@@ -157,7 +160,7 @@
     );
     assert!(other.missing_until(&id(0)).is_some());
     // The entry has come back.
-    let _ = other.apply_list(update(4, vec![listed(0, Stage::Ready)]), None);
+    let _ = other.apply_list(update(4, vec![listed(0, EndpointStage::Ready)]), None);
     assert_eq!(other.missing_until(&id(0)), None);
 }
 
@@ -166,8 +169,8 @@
     let registry = EndpointRegistry::default();
     let both = || {
         vec![
-            Change::Seen(Box::new(entry(9, 80, Stage::Ready))),
-            Change::Seen(Box::new(entry(1, 80, Stage::Ready))),
+            EndpointChange::Listed(Box::new(entry(9, 80, EndpointStage::Ready))),
+            EndpointChange::Listed(Box::new(entry(1, 80, EndpointStage::Ready))),
         ]
     };
     let _ = registry.apply_list(whole(2, both()), None);
@@ -182,11 +185,15 @@
 async fn an_entry_that_came_back_is_not_missing_even_if_it_shows_an_earlier_incarnation() {
     let registry = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
-    let _ = registry.apply_list(whole(1, vec![listed(0, Stage::Ready)]), None);
-    let _ = registry.apply_list(update(2, vec![Change::Gone(id(0))]), Some(until));
-    registry.lock().map.get_mut(&id(0)).expect("known").endpoint.life = Some(units::Life(200));
-    let entry = Endpoint { life: Some(units::Life(100)), ..entry(0, 0, Stage::Ready) };
-    let _ = registry.apply_list(update(3, vec![Change::Seen(Box::new(entry))]), None);
+    let _ = registry.apply_list(whole(1, vec![listed(0, EndpointStage::Ready)]), None);
+    let _ = registry.apply_list(update(2, vec![EndpointChange::Removed(id(0))]), Some(until));
+    registry.lock().map.get_mut(&id(0)).expect("known").endpoint.incarnation =
+        Some(units::EndpointIncarnation(200));
+    let entry = Endpoint {
+        incarnation: Some(units::EndpointIncarnation(100)),
+        ..entry(0, 0, EndpointStage::Ready)
+    };
+    let _ = registry.apply_list(update(3, vec![EndpointChange::Listed(Box::new(entry))]), None);
     assert_eq!(registry.missing_until(&id(0)), None);
 }
 
@@ -194,10 +201,10 @@
 async fn an_endpoint_whose_entry_lapsed_and_came_back_within_one_read_stays_known() {
     let registry = EndpointRegistry::default();
     let until = Instant::now() + LAPSED_ENTRY_GRACE;
-    let _ = registry.apply_list(whole(1, vec![listed(0, Stage::Ready)]), None);
-    let back = vec![Change::Gone(id(0)), listed(0, Stage::Ready)];
+    let _ = registry.apply_list(whole(1, vec![listed(0, EndpointStage::Ready)]), None);
+    let back = vec![EndpointChange::Removed(id(0)), listed(0, EndpointStage::Ready)];
     for until in [None, Some(until)] {
         assert!(registry.apply_list(update(3, back.clone()), until).is_empty());
-        assert_eq!(stages(&registry), BTreeMap::from([(id(0), Stage::Ready)]));
+        assert_eq!(stages(&registry), BTreeMap::from([(id(0), EndpointStage::Ready)]));
     }
 }
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{EngineNews, Ensure, Loader, Poll, Polled, Verdict};
+use control::{
+    EngineUpdate, EnsureOutcome, EnsureRequest, LoaderClient, PollRequest, PollResponse,
+};
 use events::{Dependency, Event, NO_ROOM, emit, millis};
 use tokio::time::Instant;
 use units::{EndpointId, Revision, ServiceName};
@@ -49,7 +51,7 @@
 }
 
 async fn poll_loader(shared: Arc<Shared>, id: EndpointId, addr: SocketAddr, service: ServiceName) {
-    let loader = shared.loader(addr);
+    let loader = shared.loader_client(addr);
     let mut seen = 0;
     let mut pause = FIRST_RETRY_PAUSE;
     let mut evicting = false;
@@ -64,12 +66,12 @@
                 table.map.values().filter(|tracked| tracked.loader_task.is_some()).count();
             let Some(tracked) = table.map.get_mut(&id) else { return };
             tracked.poll_wait = poll_wait(loaders);
-            (tracked.endpoint.life, uses, tracked.poll_wait)
+            (tracked.endpoint.incarnation, uses, tracked.poll_wait)
         };
         let router = shared.instance.clone();
         let wait = if evicting { EVICTION_POLL_WAIT } else { idle_wait };
         let (endpoint, era) = (id.clone(), shared.store.era());
-        let poll = Poll { router, endpoint, life, era, seen, wait, uses };
+        let poll = PollRequest { router, endpoint, incarnation: life, era, seen, wait, uses };
         match loader.poll(&poll).await {
             Ok(polled) => {
                 if let Some(since) = lost_since.take() {
@@ -79,13 +81,13 @@
                 }
                 pause = FIRST_RETRY_PAUSE;
                 match polled {
-                    Polled::News(state) => {
+                    PollResponse::Changed(state) => {
                         seen = state.version;
-                        engine_unknown = state.engine == Revision(0);
-                        evicting = !state.holdings.leaving.is_empty();
-                        shared.heard(&id, *state);
+                        engine_unknown = state.engine_version == Revision(0);
+                        evicting = !state.holdings.evicting.is_empty();
+                        shared.apply_endpoint_state(&id, *state);
                     }
-                    Polled::Same(load) => {
+                    PollResponse::Unchanged(load) => {
                         if !shared.known.refresh_load(&id, load) {
                             // What the endpoint held has been discarded since: it may have restarted.
                             seen = 0;
@@ -119,13 +121,13 @@
 }
 
 /// Sends a loader the engine that its endpoint runs, if the configuration here has one.
-async fn send_engine(shared: &Shared, loader: &Loader, service: &ServiceName) {
+async fn send_engine(shared: &Shared, loader: &LoaderClient, service: &ServiceName) {
     let Some(catalog) = shared.current() else { return };
     let Some(engine) = catalog.service(service).and_then(|service| service.engine.clone()) else {
         return;
     };
-    let news = EngineNews { version: catalog.version, engine };
-    if let Err(error) = loader.engine(&news).await {
+    let news = EngineUpdate { version: catalog.version, engine };
+    if let Err(error) = loader.update_engine(&news).await {
         log::debug!("router: a loader did not accept the engine: {error}");
     }
 }
@@ -156,7 +158,7 @@
         let now = Instant::now();
         let rate = table.request_rate(&target.model, now);
         if request.cold {
-            table.cold.ask(id, &target.model, now);
+            table.cold.add_request(id, &target.model, now);
         }
         (addr, rate)
     };
@@ -166,7 +168,7 @@
         expect_ms: millis(request.expect),
         cause: if request.urgent { "request" } else { "prepared" },
     });
-    let ensure = Ensure {
+    let ensure = EnsureRequest {
         router: shared.instance.clone(),
         endpoint: id.clone(),
         target: target.clone(),
@@ -190,16 +192,16 @@
     pub(crate) cold: bool,
 }
 
-async fn send_load_request(shared: Arc<Shared>, addr: SocketAddr, ensure: Ensure) {
-    let ensured = shared.loader(addr).ensure(&ensure).await;
+async fn send_load_request(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
+    let ensured = shared.loader_client(addr).ensure(&ensure).await;
     let (pause, cause) = match &ensured {
-        Ok(ensured) => match ensured.verdict {
-            Verdict::Ready => (Duration::ZERO, String::new()),
-            Verdict::Refused(after) => (after, NO_ROOM.to_owned()),
+        Ok(ensured) => match ensured.outcome {
+            EnsureOutcome::Ready => (Duration::ZERO, String::new()),
+            EnsureOutcome::Refused(after) => (after, NO_ROOM.to_owned()),
         },
         Err(error) => (UNREACHABLE_PAUSE, error.to_string()),
     };
-    let Ensure { endpoint: id, target, .. } = ensure;
+    let EnsureRequest { endpoint: id, target, .. } = ensure;
     if !pause.is_zero() {
         emit(&Event::Declined {
             model: &target.to_string(),
@@ -209,10 +211,10 @@
         });
     }
     if let Ok(ensured) = ensured {
-        shared.heard(&id, ensured.state);
+        shared.apply_endpoint_state(&id, ensured.state);
     }
     let mut table = shared.known.lock();
-    table.cold.answered(&id, &target.model);
+    table.cold.remove_request(&id, &target.model);
     if let Some(tracked) = table.map.get_mut(&id) {
         if let Some(loads) = tracked.open_loads.get_mut(&target) {
             loads.open -= 1;
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -34,20 +34,22 @@
     let mut pause = FIRST_PAUSE;
     // An entry that came back and is missing again has its own task.
     while shared.known.missing_until(&id) == Some(until) {
-        let health = shared.health(&id, HEALTH_TIMEOUT).await;
+        let health = shared.check_health(&id, HEALTH_TIMEOUT).await;
         let next = match health {
-            Some(Health::Well) => HEALTHY_INTERVAL,
+            Some(Health::Healthy) => HEALTHY_INTERVAL,
             // It is not known whether an overloaded endpoint is draining; it could run no further request anyway.
-            Some(Health::Full) | None => {
+            Some(Health::Overloaded) | None => {
                 pause *= 2;
                 pause / 2
             }
-            Some(Health::Unfit) => return shared.known.remove_missing(&id, "it drains or fails"),
-            Some(Health::Other) => {
+            Some(Health::Unhealthy) => {
+                return shared.known.remove_missing(&id, "it drains or fails");
+            }
+            Some(Health::OtherInstance) => {
                 return shared.known.remove_missing(&id, "another endpoint is at its address");
             }
         };
-        shared.known.set_unhealthy(&id, health != Some(Health::Well));
+        shared.known.set_unhealthy(&id, health != Some(Health::Healthy));
         let next = Instant::now() + next;
         tokio::time::sleep_until(next.min(until)).await;
         if next >= until {
--- a/components/router/src/place.rs
+++ b/components/router/src/place.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, StatusCode};
 use quarantine::Digest;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName};
+use units::{EndpointId, EndpointIncarnation, ModelName};
 
 use crate::endpoint::TrackedEndpoint;
 use crate::pool::ConnectionPool;
@@ -21,7 +21,7 @@
     shared: Arc<Shared>,
     pub(crate) id: EndpointId,
     /// The life of the endpoint that it is in.
-    pub(crate) life: Option<Life>,
+    pub(crate) life: Option<EndpointIncarnation>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) running: u32,
     pub(crate) age: Duration,
@@ -67,7 +67,7 @@
         Some(Self {
             shared: shared.clone(),
             id,
-            life: peer.endpoint.life,
+            life: peer.endpoint.incarnation,
             pool: peer.pool.clone(),
             running: peer.running,
             age: now - heard,
@@ -107,7 +107,7 @@
             return;
         }
         let same = |peer: &TrackedEndpoint| Arc::ptr_eq(&peer.pool, &self.pool);
-        let notice = platform::read_notice(status, headers);
+        let notice = platform::read_endpoint_hints(status, headers);
         self.shared.known.apply_hints(&self.id, self.life, notice, same);
     }
 
@@ -136,7 +136,7 @@
         if !work.is_zero()
             && let Some(peer) = self.peer(peers)
         {
-            peer.backlog.done(work, now);
+            peer.backlog.remove(work, now);
         }
     }
 
--- a/components/router/src/prepare.rs
+++ b/components/router/src/prepare.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use placement::{Candidate, Free};
+use placement::{Candidate, PrefetchCapacity};
 use tokio::time::Instant;
 use units::{EndpointId, ModelName, ServiceName};
 
@@ -24,7 +24,7 @@
         for service in catalog.services() {
             let Some(engine) = &service.engine else { continue };
             for (model, id) in missing(&shared, &service.name, engine) {
-                let expect = engine.model(&model).map_or(Duration::ZERO, |spec| spec.cold);
+                let expect = engine.model(&model).map_or(Duration::ZERO, |spec| spec.store_load);
                 let wish =
                     LoadRequest { urgent: false, within: expect * PATIENCE, expect, cold: true };
                 loader_task::request_load(&shared, &id, &ModelId { model, adapter: None }, wish);
@@ -52,11 +52,14 @@
             peer.candidate(able, now)
         })
         .collect();
-    let free = Free { lanes: peers.cold.free(now), all: peers.cold.all() };
+    let free = PrefetchCapacity {
+        free: peers.cold.available_permits(now),
+        total: peers.cold.permit_limit(),
+    };
     let asked =
         peers.map.values().flat_map(|peer| peer.open_loads.keys().map(|id| &id.model)).collect();
     let demand = |model: &ModelName| peers.request_rate(model, now);
-    let planned = placement::prepare(&candidates, engine, free, &asked, demand);
+    let planned = placement::plan_prefetch(&candidates, engine, free, &asked, demand);
     planned.into_iter().map(|(name, i)| (name, candidates[i].endpoint.id.clone())).collect()
 }
 
--- a/components/router/src/probe.rs
+++ b/components/router/src/probe.rs
@@ -31,7 +31,7 @@
     let mut pause = FIRST_PAUSE;
     loop {
         let Some((addr, pool)) = shared.known.pool(&id) else { return };
-        let report = shared.report(&id, addr, PROBE_TIMEOUT).await;
+        let report = shared.fetch_report(&id, addr, PROBE_TIMEOUT).await;
         let first = pause == FIRST_PAUSE;
         if let Err(cause) = &report
             && pool.liveness().state(Instant::now()) != LivenessState::Responsive
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use control::{Load, State, Use};
+use control::{EndpointLoad, EndpointState, ModelUse};
 use events::{Event, emit, millis};
 use fleet::Tier;
-use placement::{Demand, Pressure};
-use platform::Notice;
+use placement::{Demand, ScalingInputs};
+use platform::EndpointHints;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName, ServiceName, StorePosition};
+use units::{EndpointId, EndpointIncarnation, ModelName, ServiceName, StorePosition};
 
 use crate::cold::ColdLoads;
 use crate::endpoint::{ReceivedHints, TrackedEndpoint, Usage};
@@ -59,7 +59,7 @@
     /// The position up to which the list has been read, by this router or by the router that it got a snapshot from.
     pub(crate) list_position: StorePosition,
     /// Hints from endpoints that are no longer listed: a list entry that is older than the hints may come back.
-    past_hints: VecDeque<(EndpointId, Option<Life>, ReceivedHints)>,
+    past_hints: VecDeque<(EndpointId, Option<EndpointIncarnation>, ReceivedHints)>,
 }
 
 /// The endpoint table behind a lock, shared by all tasks of a router.
@@ -76,7 +76,12 @@
     }
 
     /// Applies the state that a loader reports for its endpoint.
-    pub(crate) fn apply_state(&self, id: &EndpointId, state: State, engine: Option<&Engine>) {
+    pub(crate) fn apply_state(
+        &self,
+        id: &EndpointId,
+        state: EndpointState,
+        engine: Option<&Engine>,
+    ) {
         let now = Instant::now();
         let mut table = self.lock();
         let accepted = table.map.get(id).is_some_and(TrackedEndpoint::accepts_work);
@@ -92,14 +97,14 @@
         }
         let table = &mut *table;
         if let Some((state, _)) = table.map.get(id).and_then(|tracked| tracked.state.as_ref()) {
-            table.cold.learn(id, &state.holdings, engine, now);
+            table.cold.update(id, &state.holdings, engine, now);
         }
         self.changed.notify_waiters();
     }
 
     /// Applies a loader's response that only the load of its endpoint has changed. Returns false if no earlier state is known
     /// that this could refer to.
-    pub(crate) fn refresh_load(&self, id: &EndpointId, load: Load) -> bool {
+    pub(crate) fn refresh_load(&self, id: &EndpointId, load: EndpointLoad) -> bool {
         let mut table = self.lock();
         let same =
             table.map.get_mut(id).is_some_and(|tracked| tracked.refresh_load(load, Instant::now()));
@@ -122,7 +127,12 @@
     }
 
     /// Records a failed call to an incarnation of an endpoint.
-    pub(crate) fn record_failure(&self, id: &EndpointId, life: Option<Life>, cause: &str) {
+    pub(crate) fn record_failure(
+        &self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+        cause: &str,
+    ) {
         let mut table = self.lock();
         if table.map.get(id).is_some_and(|tracked| tracked.same_incarnation(life)) {
             table.pause(id, cause);
@@ -134,17 +144,17 @@
     pub(crate) fn apply_hints(
         &self,
         id: &EndpointId,
-        life: Option<Life>,
-        notice: Notice,
+        life: Option<EndpointIncarnation>,
+        notice: EndpointHints,
         same: impl Fn(&TrackedEndpoint) -> bool,
     ) {
-        if notice == Notice::default() {
+        if notice == EndpointHints::default() {
             return;
         }
-        let after = notice.after.map(|after| after.min(MAX_BACKOFF));
+        let after = notice.retry_after.map(|after| after.min(MAX_BACKOFF));
         let backoff_until = after.map(|after| Instant::now() + after);
         let new =
-            ReceivedHints { draining: notice.leaving, backoff_until, received_at: wall_clock() };
+            ReceivedHints { draining: notice.draining, backoff_until, received_at: wall_clock() };
         let mut table = self.lock();
         let Some(tracked) = table.map.get_mut(id) else {
             // The endpoint may be listed again by an entry that is older than these hints.
@@ -159,7 +169,7 @@
         if tracked.hints.draining {
             tracked.pool.retire();
         }
-        if accepted && notice.leaving {
+        if accepted && notice.draining {
             let (addr, cause) =
                 (tracked.endpoint.addr.to_string(), "it announced that it is draining");
             emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
@@ -179,14 +189,14 @@
     }
 
     /// Records that an incarnation of an endpoint answered.
-    pub(crate) fn record_success(&self, id: &EndpointId, life: Option<Life>) {
+    pub(crate) fn record_success(&self, id: &EndpointId, life: Option<EndpointIncarnation>) {
         let mut table = self.lock();
         if let Some(tracked) =
             table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(life))
         {
             tracked.consecutive_failures = 0;
             tracked.paused_until = None;
-            tracked.recent_failures.worked(Instant::now());
+            tracked.recent_failures.record_success(Instant::now());
         }
     }
 
@@ -194,7 +204,7 @@
     pub(crate) fn record_missing_model(
         &self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         model: &ModelId,
     ) {
         let mut table = self.lock();
@@ -228,7 +238,7 @@
         let pause = (FIRST_FAILURE_PAUSE * (1 << tracked.consecutive_failures.min(4)))
             .min(MAX_FAILURE_PAUSE);
         tracked.consecutive_failures += 1;
-        tracked.recent_failures.failed(Instant::now());
+        tracked.recent_failures.record_failure(Instant::now());
         tracked.paused_until = Some(Instant::now() + pause);
         let pause_ms = millis(pause);
         emit(&Event::Suspect { endpoint: id.as_str(), pause_ms, cause });
@@ -269,7 +279,7 @@
 
     /// Requests per second for a model at this router.
     pub(crate) fn request_rate(&self, model: &ModelName, now: Instant) -> f64 {
-        self.demands.get(model).map_or(0.0, |demand| demand.arrivals(now))
+        self.demands.get(model).map_or(0.0, |demand| demand.request_rate(now))
     }
 
     /// How many replicas a model needs. `waiting` is the number of requests that wait for it at this router and the time their
@@ -283,9 +293,15 @@
     ) -> u32 {
         let uses = self.map.values().filter_map(|tracked| tracked.uses.get(model));
         let running = uses.map(|usage| usage.running).sum();
-        let pressure = Pressure { routers: self.routers(), running, slots, waiting, tight };
+        let pressure = ScalingInputs {
+            routers: self.routers(),
+            running,
+            slots,
+            waiting,
+            memory_scarce: tight,
+        };
         let demand = self.demands.get(model).copied().unwrap_or_default();
-        demand.holders(&pressure, Instant::now())
+        demand.replicas_needed(&pressure, Instant::now())
     }
 
     /// The number of routers that the loaders hear from; at least this one.
@@ -303,7 +319,7 @@
     }
 
     /// Takes the use of an endpoint's models since the last call, to be reported to its loader.
-    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<Use>> {
+    pub(crate) fn take_uses(&mut self, id: &EndpointId, now: Instant) -> Option<Vec<ModelUse>> {
         let tracked = self.map.get_mut(id)?;
         let held: Vec<ModelName> = tracked.holdings(now).map_or_else(Vec::new, |holdings| {
             holdings.models.iter().map(|held| held.model.clone()).collect()
@@ -313,7 +329,7 @@
             if running > 0 {
                 tracked.uses.insert(model.clone(), Usage { begun: 0, running });
             }
-            (begun > 0 || running > 0).then_some(Use { model, begun, running })
+            (begun > 0 || running > 0).then_some(ModelUse { model, begun, running })
         });
         Some(uses.collect())
     }
@@ -352,7 +368,7 @@
     pub(crate) fn remember_hints(
         &mut self,
         id: &EndpointId,
-        life: Option<Life>,
+        life: Option<EndpointIncarnation>,
         hints: ReceivedHints,
     ) {
         if hints == ReceivedHints::default() {
@@ -365,17 +381,22 @@
     }
 
     /// The hints of an incarnation of an endpoint that was listed before.
-    pub(crate) fn past_hints(&self, id: &EndpointId, life: Option<Life>) -> ReceivedHints {
+    pub(crate) fn past_hints(
+        &self,
+        id: &EndpointId,
+        life: Option<EndpointIncarnation>,
+    ) -> ReceivedHints {
         let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, hints)| {
-            other == id && (!Life::differ(*then, life) || hints.is_from_incarnation(life))
+            other == id
+                && (!EndpointIncarnation::differ(*then, life) || hints.is_from_incarnation(life))
         });
         found.map(|(_, _, hints)| *hints).unwrap_or_default()
     }
 
     /// Discards what belongs to an earlier incarnation of an endpoint.
     pub(crate) fn forget_incarnation(&mut self, id: &EndpointId) {
-        self.cold.forget(id);
+        self.cold.remove_endpoint(id);
         for asked in self.room_requests.values_mut() {
             asked.retain(|(other, _)| other != id);
         }
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -10,7 +10,7 @@
 use http::header::{self, HeaderValue};
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
-use platform::Call;
+use platform::RequestHeaders;
 use process::Phase;
 use quarantine::Digest;
 use tokio::time::Instant;
@@ -95,15 +95,15 @@
 ) -> Result<Response<Body>, Failure> {
     let (mut parts, body) = request.into_parts();
     let malformed = || own(StatusCode::BAD_REQUEST, Refusal::Malformed, None);
-    let call = platform::read_call(&parts).map_err(|_| malformed())?;
+    let call = platform::parse_request_headers(&parts).map_err(|_| malformed())?;
     let Entry { catalog, route, identity } = enter(shared, &call, &parts, times).await?;
     let service = route
-        .backend(rand::random())
+        .choose_service(rand::random())
         .cloned()
         .ok_or_else(|| own(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoEndpoint, None))?;
     let left = call.deadline.unwrap_or(LONGEST).min(route.timeout);
     let due = times.arrived + left.saturating_sub(MARGIN);
-    let start = due.min(times.arrived + route.patience.saturating_sub(FIRST_EVENT));
+    let start = due.min(times.arrived + route.event_timeout.saturating_sub(FIRST_EVENT));
     times.until = times.arrived + left;
     times.class = route.class();
     emit(&Event::Accepted {
@@ -114,7 +114,7 @@
         model: &call.model.as_ref().map(ToString::to_string).unwrap_or_default(),
         left_ms: millis(left),
         target_ms: millis(route.target),
-        pause_ms: millis(route.pause),
+        pause_ms: millis(route.max_pause),
     });
     shared.count(&service);
     let charge = match identity.workspace() {
@@ -124,7 +124,7 @@
         }
         None => None,
     };
-    let read = tokio::time::timeout_at(due, web::read(body, catalog.limits.body)).await;
+    let read = tokio::time::timeout_at(due, web::read(body, catalog.limits.body_bytes)).await;
     let Ok(read) = read else {
         return Err(own(StatusCode::REQUEST_TIMEOUT, Refusal::TimedOut, None));
     };
@@ -181,7 +181,7 @@
 }
 
 /// How long a request is held by a router that reads the store for the first time.
-fn first_hold(call: &Call) -> Duration {
+fn first_hold(call: &RequestHeaders) -> Duration {
     (call.deadline.unwrap_or(LONGEST) / FIRST_READ).min(FIRST_HOLD)
 }
 
@@ -195,7 +195,7 @@
 /// Finds the route of a request, and lets it in by its key.
 async fn enter(
     shared: &Shared,
-    call: &Call,
+    call: &RequestHeaders,
     parts: &request::Parts,
     times: &Times,
 ) -> Result<Entry, Failure> {
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -6,8 +6,8 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use platform::{Follower, News, Store, StoreError, Topic};
-use quota::{Record, Write};
+use platform::{Follower, Store, StoreError, Topic, Update};
+use quota::{RosterWrite, RouterRecord};
 use tokio::time::Instant;
 
 use crate::shared::Shared;
@@ -43,7 +43,7 @@
         wait_for_limits = false;
         match result {
             Ok(()) => {
-                events::reached(Dependency::Roster);
+                events::record_reached(Dependency::Roster);
                 if let Some(since) = lost_since.take() {
                     let (dependency, after_ms) = (Dependency::Roster, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
@@ -72,27 +72,29 @@
 async fn read(shared: &Shared, follower: &mut Follower, wait: Duration) -> Result<(), StoreError> {
     let sent = Moment::now();
     let batch = follower.next(wait).await?;
-    let updates = batch.news.into_iter().filter_map(decode).collect();
-    shared.quotas.read(updates, batch.whole, sent);
+    let updates = batch.updates.into_iter().filter_map(decode).collect();
+    shared.quotas.apply_roster_read(updates, batch.complete, sent);
     Ok(())
 }
 
 /// Writes the records that are due.
 async fn write(shared: &Shared, store: &Store) -> Result<(), StoreError> {
-    while let Some(write) = shared.quotas.next_write() {
+    while let Some(write) = shared.quotas.next_roster_write() {
         let (addr, value) = match &write {
-            Write::Put(addr, record) => (addr, serde_json::to_vec(record).unwrap_or_default()),
-            Write::Drop(addr) => (addr, Vec::new()),
+            RosterWrite::Put(addr, record) => {
+                (addr, serde_json::to_vec(record).unwrap_or_default())
+            }
+            RosterWrite::Delete(addr) => (addr, Vec::new()),
         };
         store.put(Topic::Routers, &addr.to_string(), &value, None).await?;
-        shared.quotas.wrote(&write);
+        shared.quotas.confirm_roster_write(&write);
     }
     Ok(())
 }
 
 /// Parses one record; the record is `None` if it was deleted.
-fn decode(update: News) -> Option<(std::net::SocketAddr, Option<Record>)> {
-    let News::Own(key, value) = update else { return None };
+fn decode(update: Update) -> Option<(std::net::SocketAddr, Option<RouterRecord>)> {
+    let Update::Record(key, value) = update else { return None };
     let bad = |cause: String| {
         let cause = format!("the record `{key}` can't be parsed: {cause}");
         emit(&Event::Unreadable { dependency: Dependency::Roster, cause: &cause });
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use admission::{Repeat, RepeatLimits, Repeats};
+use admission::{RetryBudget, RetryDecision, RetryLimits};
 use catalog::Catalog;
-use control::{Kept, Loader, Position, State};
+use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
 use process::{Pulse, Shutdown, Single};
@@ -54,12 +54,12 @@
 
 /// The feeds whose last read gave nothing: what this router knows is getting older.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Still {
+pub(crate) struct StaleFeeds {
     configuration: bool,
     membership: bool,
 }
 
-impl Still {
+impl StaleFeeds {
     fn set(&mut self, feed: Feed, still: bool) {
         match feed {
             Feed::Configuration => self.configuration = still,
@@ -86,7 +86,7 @@
     /// Whether it takes no connections any more, since it is ending: what has no place by then is refused.
     pub(crate) closing: watch::Sender<bool>,
     start: watch::Sender<Start>,
-    pub(crate) still: watch::Sender<Still>,
+    pub(crate) stale_feeds: watch::Sender<StaleFeeds>,
     /// Requests in flight.
     pub(crate) flying: AtomicUsize,
     pub(crate) client: Client,
@@ -98,13 +98,13 @@
     /// Keeps requests that crash endpoints from them.
     pub(crate) guard: Arc<CrashGuard>,
     /// How far the records on ended endpoints have been read, while the store answers.
-    pub(crate) ends_read: watch::Sender<Option<StorePosition>>,
-    repeats: Mutex<HashMap<ServiceName, Repeats>>,
+    pub(crate) crash_records_position: watch::Sender<Option<StorePosition>>,
+    repeats: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl Shared {
     /// With the records that the guard has to write.
-    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let settings = process.settings.borrow().clone();
         let (guard, records) = CrashGuard::new(settings.instance.to_string());
         let shared = Self {
@@ -117,14 +117,14 @@
             shutdown: process.shutdown.clone(),
             closing: watch::Sender::new(false),
             start: watch::Sender::new(Start::Reading),
-            still: watch::Sender::new(Still::default()),
+            stale_feeds: watch::Sender::new(StaleFeeds::default()),
             flying: AtomicUsize::new(0),
             client: Client::default(),
             store: Store::new(settings.store),
             access: Access::default(),
             quotas: Quotas::new(settings.control, settings.domain.clone()),
             guard: Arc::new(guard),
-            ends_read: watch::Sender::new(None),
+            crash_records_position: watch::Sender::new(None),
             repeats: Mutex::default(),
         };
         (shared, records)
@@ -161,9 +161,9 @@
     }
 
     /// Notes how a read of the store ended; the first ones decide how requests of the start are taken.
-    pub(crate) fn read_store(&self, feed: Feed, reached: bool) {
-        self.note_start(reached);
-        self.still.send_if_modified(|still| {
+    pub(crate) fn record_store_read(&self, feed: Feed, reached: bool) {
+        self.update_start(reached);
+        self.stale_feeds.send_if_modified(|still| {
             let before = *still;
             still.set(feed, !reached);
             before != *still
@@ -171,7 +171,7 @@
     }
 
     /// Notes whether there is something to serve with, after a read of the store or the word of another router.
-    pub(crate) fn note_start(&self, reached: bool) {
+    pub(crate) fn update_start(&self, reached: bool) {
         let known = self.current().is_some() && self.known.lock().list_loaded;
         self.start.send_if_modified(|start| {
             let next = match (*start, known, reached) {
@@ -205,13 +205,13 @@
     }
 
     /// A client of the loader on the machine of an endpoint.
-    pub(crate) fn loader(&self, endpoint: std::net::SocketAddr) -> Loader {
+    pub(crate) fn loader_client(&self, endpoint: std::net::SocketAddr) -> LoaderClient {
         let addr = std::net::SocketAddr::new(endpoint.ip(), self.settings.borrow().loader);
-        Loader::new(self.client.clone(), addr)
+        LoaderClient::new(self.client.clone(), addr)
     }
 
     /// Takes what a loader says of its endpoint.
-    pub(crate) fn heard(&self, id: &EndpointId, state: State) {
+    pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: EndpointState) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
             let service = self.known.lock().map.get(id)?.endpoint.service.clone();
@@ -221,23 +221,23 @@
     }
 
     /// Asks an endpoint for its report, as a sign of life.
-    pub(crate) async fn report(
+    pub(crate) async fn fetch_report(
         &self,
         id: &EndpointId,
         endpoint: std::net::SocketAddr,
         limit: Duration,
     ) -> Result<(), String> {
-        let report = platform::read_report(&self.client, endpoint, limit).await;
+        let report = platform::fetch_report(&self.client, endpoint, limit).await;
         let report = report.map_err(|error| error.to_string())?;
         let same = |peer: &TrackedEndpoint| {
-            peer.endpoint.addr == endpoint && peer.same_incarnation(report.life)
+            peer.endpoint.addr == endpoint && peer.same_incarnation(report.incarnation)
         };
-        self.known.apply_hints(id, report.life, report.notice, same);
+        self.known.apply_hints(id, report.incarnation, report.hints, same);
         Ok(())
     }
 
     /// Asks an endpoint whether it is well; `None` if it is not known any more or can't be asked.
-    pub(crate) async fn health(&self, id: &EndpointId, limit: Duration) -> Option<Health> {
+    pub(crate) async fn check_health(&self, id: &EndpointId, limit: Duration) -> Option<Health> {
         let (endpoint, pool) = {
             let peers = self.known.lock();
             let peer = peers.map.get(id)?;
@@ -248,7 +248,7 @@
         match platform::check_health(&self.client, endpoint.addr, path, id, limit).await {
             Ok((health, notice)) => {
                 let same = |peer: &TrackedEndpoint| Arc::ptr_eq(&peer.pool, &pool);
-                self.known.apply_hints(id, endpoint.life, notice, same);
+                self.known.apply_hints(id, endpoint.incarnation, notice, same);
                 Some(health)
             }
             Err(error) => {
@@ -260,23 +260,24 @@
 
     /// Counts a request to a service.
     pub(crate) fn count(&self, service: &ServiceName) {
-        self.with_repeats(service, |repeats| repeats.request(Instant::now()));
+        self.with_repeats(service, |repeats| repeats.record_request(Instant::now()));
     }
 
     /// Takes a repeat from the budget of a service, for a request.
     pub(crate) fn may_repeat(&self, service: &ServiceName, request: &str) -> bool {
         let routers = self.known.lock().reported_routers();
-        let taken = self.with_repeats(service, |repeats| repeats.repeat(routers, Instant::now()));
-        let Repeat { allowed, spent, limit } = taken;
+        let taken =
+            self.with_repeats(service, |repeats| repeats.try_retry(routers, Instant::now()));
+        let RetryDecision { allowed, spent, limit } = taken;
         emit(&Event::Repeat { request, service: service.as_str(), allowed, spent, limit });
         allowed
     }
 
-    fn with_repeats<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Repeats) -> T) -> T {
+    fn with_repeats<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut all = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = self.settings.borrow().repeats;
         let Span(window) = limits.window;
-        let limits = RepeatLimits { ratio: limits.ratio, slack: limits.slack, window };
-        f(all.entry(service.clone()).or_insert_with(|| Repeats::new(limits)))
+        let limits = RetryLimits { ratio: limits.ratio, slack: limits.slack, window };
+        f(all.entry(service.clone()).or_insert_with(|| RetryBudget::new(limits)))
     }
 }
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -37,17 +37,17 @@
     let (Some(catalog), Some(newer)) = (shared.current(), shared.known.snapshot_since(have)) else {
         return web::text(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n");
     };
-    let proved = shared.access.proved(&catalog);
+    let proved = shared.access.confirmed_version(&catalog);
     if proved.is_none() && catalog.version <= have.version && newer.read <= have.read {
         return web::text(StatusCode::NO_CONTENT, "");
     }
     let catalog = (catalog.version > have.version).then(|| Catalog::clone(&catalog));
-    web::json(StatusCode::OK, &Snapshot { catalog, proved, ..newer })
+    web::json(StatusCode::OK, &Snapshot { catalog, confirmed: proved, ..newer })
 }
 
 /// Asks other routers while this one can't read the store.
 pub(crate) async fn follow(shared: Arc<Shared>) {
-    let mut still = shared.still.subscribe();
+    let mut still = shared.stale_feeds.subscribe();
     let mut turn = 0;
     while still.wait_for(|still| still.any()).await.is_ok() {
         let mut others = shared.other_routers();
@@ -69,7 +69,7 @@
     for router in routers {
         let client = shared.client.clone();
         asked.spawn(async move {
-            let snapshot = control::ask_snapshot(&client, router, have, ROUTER_TIMEOUT).await;
+            let snapshot = control::fetch_snapshot(&client, router, have, ROUTER_TIMEOUT).await;
             (router, snapshot)
         });
     }
@@ -84,7 +84,7 @@
 
 /// Applies another router's answer to a request that was sent at `sent`.
 fn apply(shared: &Arc<Shared>, router: &str, mut snapshot: Snapshot, sent: Moment) {
-    let proved = snapshot.proved;
+    let proved = snapshot.confirmed;
     let endpoints = snapshot.endpoints.len();
     let catalog = snapshot.catalog.take();
     let version = catalog.as_ref().map_or(0, |catalog| catalog.version.0);
@@ -98,11 +98,11 @@
     if let Some(proved) = proved
         && shared.current().is_some_and(|current| current.version == proved.version)
     {
-        shared.access.prove_by_word(sent, proved.age);
+        shared.access.record_peer_read(sent, proved.age);
     }
     if let Some(to_check) = shared.known.apply_snapshot(snapshot) {
         missing::watch(shared, to_check);
         loader_task::start_new(shared);
     }
-    shared.note_start(false);
+    shared.update_start(false);
 }
