--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -64,63 +64,63 @@
 pub(crate) fn start(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<EndpointIncarnation>,
+    incarnation: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
 ) {
     if !pool.sent_requests().begin_examination() {
         return;
     }
     shared.guard.begin_examination(pool);
-    tokio::spawn(run_examination(shared.clone(), id.clone(), life, pool.clone()));
+    tokio::spawn(run_examination(shared.clone(), id.clone(), incarnation, pool.clone()));
 }
 
 async fn run_examination(
     shared: Arc<Shared>,
     id: EndpointId,
-    life: Option<EndpointIncarnation>,
+    incarnation: Option<EndpointIncarnation>,
     pool: Arc<ConnectionPool>,
 ) {
     let since = Instant::now();
-    let (domain, among) = {
+    let (domain, domain_endpoints) = {
         let table = shared.known.lock();
         let domain = table.map.get(&id).map(|tracked| tracked.endpoint.domain.clone());
         let same_domain =
             table.map.values().filter(|tracked| Some(&tracked.endpoint.domain) == domain.as_ref());
-        let among = u32::try_from(same_domain.count()).unwrap_or(u32::MAX);
-        (domain, among)
+        let domain_endpoints = u32::try_from(same_domain.count()).unwrap_or(u32::MAX);
+        (domain, domain_endpoints)
     };
     // Requests that were cut together with the first one are recorded a moment later.
     tokio::task::yield_now().await;
     let at = wall_clock();
-    let finding = examine(&shared, &id, life, &pool, since + MAX_EXAMINATION).await;
-    let runs: BTreeSet<Digest> = pool.sent_requests().crash_candidates(since);
+    let finding = examine(&shared, &id, incarnation, &pool, since + MAX_EXAMINATION).await;
+    let requests: BTreeSet<Digest> = pool.sent_requests().crash_candidates(since);
     let (ended, cause) = match finding {
         Finding::Crashed(cause) => (true, cause),
         Finding::NotCrashed(cause) => (false, cause),
     };
     emit(&Event::Examined {
         endpoint: id.as_str(),
-        incarnation: life.unwrap_or_default().0,
+        incarnation: incarnation.unwrap_or_default().0,
         ended,
         cause,
-        requests: runs.len(),
+        requests: requests.len(),
         after_ms: millis(since.elapsed()),
     });
-    let death = domain.filter(|_| !runs.is_empty()).map(|domain| Crash {
+    let crash = domain.filter(|_| !requests.is_empty()).map(|domain| Crash {
         endpoint: id,
-        incarnation: life,
+        incarnation,
         domain,
-        domain_endpoints: among,
+        domain_endpoints,
         at,
-        requests: runs,
+        requests,
     });
     if ended {
-        return shared.guard.finish_examination(&pool, death);
+        return shared.guard.finish_examination(&pool, crash);
     }
     pool.sent_requests().clear_candidates();
     shared.guard.finish_examination(&pool, None);
-    if let Some(death) = death.filter(|_| finding == Finding::NotCrashed(STILL_RUNNING)) {
-        watch_list(&shared, death, &pool, since + LIST_DELAY).await;
+    if let Some(crash) = crash.filter(|_| finding == Finding::NotCrashed(STILL_RUNNING)) {
+        watch_list(&shared, crash, &pool, since + LIST_DELAY).await;
     }
 }
 
@@ -128,16 +128,16 @@
 /// it is. The requests that it had are retried meanwhile.
 async fn watch_list(
     shared: &Arc<Shared>,
-    death: Crash,
+    crash: Crash,
     pool: &Arc<ConnectionPool>,
     until: Instant,
 ) {
     while Instant::now() < until {
         tokio::time::sleep(MAX_PAUSE).await;
-        match check_table(shared, &death.endpoint, pool) {
+        match check_table(shared, &crash.endpoint, pool) {
             None => {}
             Some(Finding::Crashed(_)) => {
-                return shared.guard.record(QuarantineRecord::Crash(death));
+                return shared.guard.record(QuarantineRecord::Crash(crash));
             }
             Some(Finding::NotCrashed(_)) => return,
         }
@@ -147,7 +147,7 @@
 async fn examine(
     shared: &Arc<Shared>,
     id: &EndpointId,
-    life: Option<EndpointIncarnation>,
+    incarnation: Option<EndpointIncarnation>,
     pool: &Arc<ConnectionPool>,
     until: Instant,
 ) -> Finding {
@@ -157,7 +157,7 @@
         if let Some(finding) = check_table(shared, id, pool) {
             return finding;
         }
-        match check_address(shared, id, life, pool.addr()).await {
+        match check_address(shared, id, incarnation, pool.addr()).await {
             Answer::SameIncarnation => return Finding::NotCrashed(STILL_RUNNING),
             Answer::Replaced => return Finding::Crashed("it was replaced or restarted"),
             Answer::Refused => refused += 1,
@@ -197,7 +197,7 @@
 async fn check_address(
     shared: &Shared,
     id: &EndpointId,
-    life: Option<EndpointIncarnation>,
+    incarnation: Option<EndpointIncarnation>,
     addr: SocketAddr,
 ) -> Answer {
     match tokio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(addr)).await {
@@ -209,7 +209,9 @@
         shared.known.lock().map.get(id).is_some_and(|tracked| tracked.endpoint.holdings.is_some());
     if has_models {
         return match platform::fetch_report(&shared.client, addr, CHECK_TIMEOUT).await {
-            Ok(report) if EndpointIncarnation::differ(report.incarnation, life) => Answer::Replaced,
+            Ok(report) if EndpointIncarnation::differ(report.incarnation, incarnation) => {
+                Answer::Replaced
+            }
             Ok(_) => Answer::SameIncarnation,
             Err(error) => {
                 log::debug!("router: {id} did not report whether it is running: {error}");
--- a/components/router/src/crash_records.rs
+++ b/components/router/src/crash_records.rs
@@ -45,7 +45,7 @@
         let next = tokio::select! {
             next = follower.next(if lost_since.is_some() { Duration::ZERO } else { wait }) => next,
             // An endpoint may have crashed: other routers' records may be waiting behind a connection that has gone silent.
-            () = shared.guard.possible_crash.notified(), if wait == IDLE_READ_WAIT => continue
+            () = shared.guard.possible_crash.notified(), if wait == IDLE_READ_WAIT => continue,
         };
         match next {
             Ok(batch) => {
@@ -80,11 +80,11 @@
 fn write_again(shared: &Arc<Shared>, updates: &[Update]) {
     let exists = |key: &String| {
         updates.iter().any(
-            |update| matches!(update, Update::Record(other, value) if other == key && !value.is_empty())
+            |update| matches!(update, Update::Record(other, value) if other == key && !value.is_empty()),
         )
     };
     let missing: Vec<KeyedRecord> =
-        shared.guard.recent().into_iter().filter(|record| !exists(&record.key)).collect();
+        shared.guard.recent().into_iter().filter(|keyed| !exists(&keyed.key)).collect();
     if missing.is_empty() {
         return;
     }
@@ -97,8 +97,8 @@
         let exists = |key: &String| {
             written.iter().any(|update| matches!(update, Update::Record(other, _) if other == key))
         };
-        for record in missing.into_iter().filter(|record| !exists(&record.key)) {
-            shared.guard.queue_write(record);
+        for keyed in missing.into_iter().filter(|keyed| !exists(&keyed.key)) {
+            shared.guard.queue_write(keyed);
         }
     });
 }
@@ -114,8 +114,8 @@
             continue;
         }
         match serde_json::from_slice(&value) {
-            Ok(note) if CrashTable::is_expired(&note, now) => expired.push(key),
-            Ok(note) => all.push(KeyedRecord { key, record: note }),
+            Ok(record) if CrashTable::is_expired(&record, now) => expired.push(key),
+            Ok(record) => all.push(KeyedRecord { key, record }),
             Err(error) => {
                 let cause = format!("the record `{key}` can't be parsed: {error}");
                 emit(&Event::Unreadable { dependency: Dependency::Ends, cause: &cause });
@@ -150,10 +150,10 @@
     store: Store,
     mut records: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
-    while let Some(record) = records.recv().await {
-        let value = serde_json::to_vec(&record.record).unwrap_or_default();
-        while let Err(error) = store.put(Topic::CrashRecords, &record.key, &value, None).await {
-            if error.is_permanent() || CrashTable::is_expired(&record.record, wall_clock()) {
+    while let Some(keyed) = records.recv().await {
+        let value = serde_json::to_vec(&keyed.record).unwrap_or_default();
+        while let Err(error) = store.put(Topic::CrashRecords, &keyed.key, &value, None).await {
+            if error.is_permanent() || CrashTable::is_expired(&keyed.record, wall_clock()) {
                 // A record that the store rejects permanently must not block those after it. Other routers may still get it
                 // from this one.
                 let (dependency, cause) = (Dependency::Ends, error.to_string());
@@ -194,9 +194,9 @@
     };
     match serde_json::from_slice::<Vec<KeyedRecord>>(&bytes) {
         Ok(records) => {
-            for record in shared.guard.apply(&records) {
+            for keyed in shared.guard.apply(&records) {
                 // The other router may not reach the store.
-                shared.guard.queue_write(record);
+                shared.guard.queue_write(keyed);
             }
             web::json(StatusCode::OK, &shared.guard.recent())
         }
@@ -232,9 +232,9 @@
 ) -> Option<SendPermit> {
     let read: Option<StorePosition> = *shared.crash_records_position.borrow();
     let at: UnixMillis = wall_clock();
-    let note = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
-    let key = note.key(&shared.instance);
-    let value = serde_json::to_vec(&note).unwrap_or_default();
+    let record = QuarantineRecord::Trial(Trial { digest: *digest, number, at });
+    let key = record.key(&shared.instance);
+    let value = serde_json::to_vec(&record).unwrap_or_default();
     match shared.store.put(Topic::CrashRecords, &key, &value, Some(read?)).await {
         Ok(PutOutcome::Written) => {}
         Ok(PutOutcome::Conflict) => return None,
@@ -245,6 +245,6 @@
             return None;
         }
     }
-    shared.guard.apply(&[KeyedRecord { key, record: note }]);
+    shared.guard.apply(&[KeyedRecord { key, record }]);
     shared.guard.trial_permit(digest)
 }
--- a/components/router/src/endpoint.rs
+++ b/components/router/src/endpoint.rs
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Whether the hints were received after incarnation `life` started, and so came from it although they were recorded for
+    /// Whether the hints were received after incarnation `incarnation` started, and so came from it although they were recorded for
     /// another one. Answers don't say which incarnation sends them, and an endpoint that has just restarted answers before the
     /// list shows its new incarnation.
-    pub(crate) fn is_from_incarnation(self, life: Option<EndpointIncarnation>) -> bool {
-        life.is_some_and(|EndpointIncarnation(started)| self.received_at.0 > started)
+    pub(crate) fn is_from_incarnation(self, incarnation: Option<EndpointIncarnation>) -> bool {
+        incarnation.is_some_and(|EndpointIncarnation(started)| self.received_at.0 > started)
     }
 }
 
@@ -160,8 +160,8 @@
             self.hints = hints;
             return true;
         }
-        let life = endpoint.incarnation.or(self.endpoint.incarnation);
-        self.endpoint = Endpoint { incarnation: life, ..endpoint };
+        let incarnation = endpoint.incarnation.or(self.endpoint.incarnation);
+        self.endpoint = Endpoint { incarnation, ..endpoint };
         false
     }
 
@@ -172,13 +172,13 @@
             // The loader has not asked the endpoint since the endpoint restarted.
             return false;
         }
-        let life = state.incarnation.or(self.endpoint.incarnation);
+        let incarnation = state.incarnation.or(self.endpoint.incarnation);
         if different {
-            let (hints, holdings) = (self.hints_in(life), Some(state.holdings.clone()));
-            self.restart(Endpoint { incarnation: life, holdings, ..self.endpoint.clone() }, now);
+            let (hints, holdings) = (self.hints_in(incarnation), Some(state.holdings.clone()));
+            self.restart(Endpoint { incarnation, holdings, ..self.endpoint.clone() }, now);
             self.hints = hints;
         }
-        self.endpoint.incarnation = life;
+        self.endpoint.incarnation = incarnation;
         self.hints.draining |= state.draining;
         self.state = Some((state, now));
         self.running_baseline = self.running;
@@ -196,13 +196,17 @@
     }
 
     /// The hints that are known to hold for an incarnation that is seen for the first time.
-    fn hints_in(&self, life: Option<EndpointIncarnation>) -> ReceivedHints {
-        if self.hints.is_from_incarnation(life) { self.hints } else { ReceivedHints::default() }
+    fn hints_in(&self, incarnation: Option<EndpointIncarnation>) -> ReceivedHints {
+        if self.hints.is_from_incarnation(incarnation) {
+            self.hints
+        } else {
+            ReceivedHints::default()
+        }
     }
 
     /// Whether this is the known incarnation, or may be it because either is unknown.
-    pub(crate) fn same_incarnation(&self, life: Option<EndpointIncarnation>) -> bool {
-        !EndpointIncarnation::differ(life, self.endpoint.incarnation)
+    pub(crate) fn same_incarnation(&self, incarnation: Option<EndpointIncarnation>) -> bool {
+        !EndpointIncarnation::differ(incarnation, self.endpoint.incarnation)
     }
 
     /// Discards what belongs to an earlier incarnation: held models, running requests, connections, pauses and open loads.
@@ -303,8 +307,8 @@
         self.state.as_ref().map_or(1, |(state, _)| state.load.routers.max(1))
     }
 
-    /// The endpoint as the placement sees it; `able` says whether its loader may be asked for the model.
-    pub(crate) fn candidate(&self, able: bool, now: Instant) -> Candidate<'_> {
+    /// The endpoint as the placement sees it; `can_load` says whether its loader may be asked for the model.
+    pub(crate) fn candidate(&self, can_load: bool, now: Instant) -> Candidate<'_> {
         let state = self.state.as_ref().map(|(state, _)| state);
         Candidate {
             endpoint: &self.endpoint,
@@ -315,7 +319,7 @@
             failures: self.recent_failures.count(now),
             room_wait: state.map_or(Duration::ZERO, |state| state.room_wait),
             queued_models: state.map_or(0, |state| state.load.waiting),
-            can_load: able,
+            can_load,
         }
     }
 
--- a/components/router/src/endpoint/tests.rs
+++ b/components/router/src/endpoint/tests.rs
@@ -5,10 +5,10 @@
 
 use super::*;
 
-fn entry(life: u64) -> Endpoint {
+fn entry(incarnation: u64) -> Endpoint {
     Endpoint {
         id: "i-1".parse().expect("an id"),
-        incarnation: Some(EndpointIncarnation(life)),
+        incarnation: Some(EndpointIncarnation(incarnation)),
         service: "llm".parse().expect("a service"),
         addr: ([10, 0, 0, 1], 80).into(),
         domain: "near".parse().expect("a domain"),
@@ -24,11 +24,11 @@
     Holdings { models: models.iter().map(held).collect(), ..Holdings::default() }
 }
 
-fn state(life: u64, models: &[&str]) -> EndpointState {
+fn state(incarnation: u64, models: &[&str]) -> EndpointState {
     EndpointState {
         version: 1,
         endpoint: None,
-        incarnation: Some(EndpointIncarnation(life)),
+        incarnation: Some(EndpointIncarnation(incarnation)),
         holdings: holding(models),
         load: EndpointLoad { waiting: 0, running: 7, routers: 2 },
         room_wait: Duration::ZERO,
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -39,7 +39,7 @@
 const MAX_START_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The most remembered keys of invalid list entries, which no endpoint wrote: more than a deployment has endpoints.
-const MAX_FOREIGN_KEYS: usize = 4_096;
+const MAX_INVALID_KEYS: usize = 4_096;
 
 /// Whether the store answers one feed's calls, and since when it does or does not.
 #[derive(Debug)]
@@ -201,7 +201,7 @@
 pub(crate) async fn follow_members(shared: Arc<Shared>, store: Store) {
     let mut follower = Follower::new(store, Topic::Endpoints);
     let mut contact = StoreContact::new(Dependency::Membership);
-    let mut foreign = BTreeSet::new();
+    let mut invalid_keys = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
         follower.skip_to(shared.known.lock().list_position);
@@ -218,7 +218,7 @@
                 }
                 let until = contact.returned_at.map(|returned| returned + LAPSED_ENTRY_GRACE);
                 let more = batch.has_more;
-                apply_members(&shared, batch, until, &mut foreign);
+                apply_members(&shared, batch, until, &mut invalid_keys);
                 shared.record_store_read(Feed::Membership, true);
                 // Changes that are left after a long time without the store are read without a pause.
                 tokio::time::sleep(if more { Duration::ZERO } else { LIST_READ_INTERVAL }).await;
@@ -231,34 +231,34 @@
     }
 }
 
-/// Applies a read of the list. `foreign` holds the keys of invalid entries, so that each is reported when it appears and not
+/// Applies a read of the list. `invalid_keys` holds the keys of invalid entries, so that each is reported when it appears and not
 /// with each read of the whole list.
 fn apply_members(
     shared: &Arc<Shared>,
     batch: Batch,
     until: Option<Instant>,
-    foreign: &mut BTreeSet<String>,
+    invalid_keys: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
     for update in batch.updates {
         match update {
             Update::Endpoint(change) => {
                 if let EndpointChange::Listed(endpoint) = &change {
-                    foreign.remove(endpoint.id.as_str());
+                    invalid_keys.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
             Update::InvalidEndpoint(key, cause) => {
                 // The invalid entry may have replaced that of an endpoint.
                 changes.extend(key.parse().map(EndpointChange::Removed));
-                if foreign.len() < MAX_FOREIGN_KEYS && foreign.insert(key) {
+                if invalid_keys.len() < MAX_INVALID_KEYS && invalid_keys.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
             }
             Update::Config(_) | Update::InvalidConfig(_) | Update::Record(..) => {}
         }
     }
-    let update = ListUpdate { changes, whole: batch.complete, position: batch.position };
+    let update = ListUpdate { changes, complete: batch.complete, position: batch.position };
     let missing = shared.known.apply_list(update, until);
     missing::watch(shared, missing);
     loader_task::start_new(shared);
--- a/components/router/src/guard.rs
+++ b/components/router/src/guard.rs
@@ -214,10 +214,10 @@
         self.possible_crash.notify_waiters();
     }
 
-    /// Ends the examination of an incarnation; `death` is the crash, if it is one.
-    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, death: Option<Crash>) {
-        if let Some(death) = death {
-            self.record(QuarantineRecord::Crash(death));
+    /// Ends the examination of an incarnation; `crash` is the crash, if it is one.
+    pub(crate) fn finish_examination(&self, pool: &Arc<ConnectionPool>, crash: Option<Crash>) {
+        if let Some(crash) = crash {
+            self.record(QuarantineRecord::Crash(crash));
         }
         self.lock().examined_pools.retain(|other| !Arc::ptr_eq(other, pool));
         self.changed.notify_waiters();
@@ -225,18 +225,18 @@
 
     /// A request ran to its end: earlier crashes of endpoints that had it no longer count against it.
     pub(crate) fn record_completion(&self, digest: &Digest) {
-        let standing = self.lock().table.suspicion(digest);
+        let suspicion = self.lock().table.suspicion(digest);
         // A single crash counts too little for its release to be stored: it is applied at this router only.
-        let significant = match standing {
+        let significant = match suspicion {
             SuspicionLevel::Clear => return,
             SuspicionLevel::Watched(crashes) => crashes >= MIN_CRASHES_TO_ISOLATE,
             SuspicionLevel::Suspect => true,
         };
-        let note = QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() });
+        let record = QuarantineRecord::Release(Release { digest: *digest, at: wall_clock() });
         if significant {
-            return self.record(note);
+            return self.record(record);
         }
-        self.apply(&[KeyedRecord { key: note.key(&self.router), record: note }]);
+        self.apply(&[KeyedRecord { key: record.key(&self.router), record }]);
     }
 
     /// Releases a suspect on an operator's request. Returns false if the request is no suspect.
@@ -249,15 +249,15 @@
     }
 
     /// Applies a record of this router and has it written to the store.
-    pub(crate) fn record(&self, note: QuarantineRecord) {
-        let record = KeyedRecord { key: note.key(&self.router), record: note };
-        self.apply(std::slice::from_ref(&record));
-        let _ = self.write.send(record);
+    pub(crate) fn record(&self, record: QuarantineRecord) {
+        let keyed = KeyedRecord { key: record.key(&self.router), record };
+        self.apply(std::slice::from_ref(&keyed));
+        let _ = self.write.send(keyed);
     }
 
     /// Has a record from another router written to the store.
-    pub(crate) fn queue_write(&self, record: KeyedRecord) {
-        let _ = self.write.send(record);
+    pub(crate) fn queue_write(&self, keyed: KeyedRecord) {
+        let _ = self.write.send(keyed);
     }
 
     /// Applies crash records, and returns those that are new and not expired.
@@ -265,18 +265,18 @@
         let now = wall_clock();
         let mut state = self.lock();
         let before: HashSet<Digest> = state.table.suspects().map(|(digest, _)| *digest).collect();
-        let known: HashSet<&String> = state.recent.iter().map(|record| &record.key).collect();
+        let known: HashSet<&String> = state.recent.iter().map(|keyed| &keyed.key).collect();
         let fresh: Vec<KeyedRecord> = all
             .iter()
-            .filter(|record| {
-                !known.contains(&record.key) && !CrashTable::is_expired(&record.record, now)
+            .filter(|keyed| {
+                !known.contains(&keyed.key) && !CrashTable::is_expired(&keyed.record, now)
             })
             .cloned()
             .collect();
-        if state.table.apply(all.iter().map(|record| &record.record), now) == 0 {
+        if state.table.apply(all.iter().map(|keyed| &keyed.record), now) == 0 {
             return Vec::new();
         }
-        if fresh.iter().any(|record| matches!(record.record, QuarantineRecord::Crash(_))) {
+        if fresh.iter().any(|keyed| matches!(keyed.record, QuarantineRecord::Crash(_))) {
             state.last_crash = Some(Instant::now());
         }
         state.recent.extend(fresh.iter().cloned());
@@ -328,8 +328,8 @@
 /// The endpoint, incarnation and age of each crash.
 fn format_evidence(crashes: &[Evidence], now: UnixMillis) -> String {
     let format_one = |crash: &Evidence| {
-        let life = crash.incarnation.unwrap_or_default();
-        format!("{} {life} {}ms", crash.endpoint, now.since(crash.at).as_millis())
+        let incarnation = crash.incarnation.unwrap_or_default();
+        format!("{} {incarnation} {}ms", crash.endpoint, now.since(crash.at).as_millis())
     };
     crashes.iter().map(format_one).collect::<Vec<_>>().join(", ")
 }
--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -23,7 +23,7 @@
     /// The changes, oldest first.
     pub(crate) changes: Vec<EndpointChange>,
     /// Whether this is the whole list, so that endpoints without an entry here are gone.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
     /// The position up to which the list has been read.
     pub(crate) position: StorePosition,
 }
@@ -56,7 +56,7 @@
         }
         let changes = newest_at_each_address(update.changes);
         let mut gone = BTreeSet::new();
-        if update.whole {
+        if update.complete {
             let listed: HashSet<&EndpointId> =
                 changes.iter().filter_map(EndpointChange::listed).collect();
             gone.extend(table.map.keys().filter(|id| !listed.contains(id)).cloned());
--- a/components/router/src/list/tests.rs
+++ b/components/router/src/list/tests.rs
@@ -39,11 +39,11 @@
 }
 
 fn update(read: u64, changes: Vec<EndpointChange>) -> ListUpdate {
-    ListUpdate { changes, whole: false, position: at(read) }
+    ListUpdate { changes, complete: false, position: at(read) }
 }
 
 fn whole(read: u64, changes: Vec<EndpointChange>) -> ListUpdate {
-    ListUpdate { whole: true, ..update(read, changes) }
+    ListUpdate { complete: true, ..update(read, changes) }
 }
 
 /// The endpoints that a router knows, with their stages.
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -59,7 +59,7 @@
     let mut engine_unknown = true;
     let mut lost_since: Option<Instant> = None;
     loop {
-        let (life, uses, idle_wait) = {
+        let (incarnation, uses, idle_wait) = {
             let mut table = shared.known.lock();
             let Some(uses) = table.take_uses(&id, Instant::now()) else { return };
             let loaders =
@@ -71,7 +71,7 @@
         let router = shared.instance.clone();
         let wait = if evicting { EVICTION_POLL_WAIT } else { idle_wait };
         let (endpoint, era) = (id.clone(), shared.store.era());
-        let poll = PollRequest { router, endpoint, incarnation: life, era, seen, wait, uses };
+        let poll = PollRequest { router, endpoint, incarnation, era, seen, wait, uses };
         match loader.poll(&poll).await {
             Ok(polled) => {
                 if let Some(since) = lost_since.take() {
@@ -126,8 +126,8 @@
     let Some(engine) = catalog.service(service).and_then(|service| service.engine.clone()) else {
         return;
     };
-    let news = EngineUpdate { version: catalog.version, engine };
-    if let Err(error) = loader.update_engine(&news).await {
+    let update = EngineUpdate { version: catalog.version, engine };
+    if let Err(error) = loader.update_engine(&update).await {
         log::debug!("router: a loader did not accept the engine: {error}");
     }
 }
@@ -193,9 +193,9 @@
 }
 
 async fn send_load_request(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
-    let ensured = shared.loader_client(addr).ensure(&ensure).await;
-    let (pause, cause) = match &ensured {
-        Ok(ensured) => match ensured.outcome {
+    let response = shared.loader_client(addr).ensure(&ensure).await;
+    let (pause, cause) = match &response {
+        Ok(response) => match response.outcome {
             EnsureOutcome::Ready => (Duration::ZERO, String::new()),
             EnsureOutcome::Refused(after) => (after, NO_ROOM.to_owned()),
         },
@@ -210,8 +210,8 @@
             cause: &cause,
         });
     }
-    if let Ok(ensured) = ensured {
-        shared.apply_endpoint_state(&id, ensured.state);
+    if let Ok(response) = response {
+        shared.apply_endpoint_state(&id, response.state);
     }
     let mut table = shared.known.lock();
     table.cold.remove_request(&id, &target.model);
--- a/components/router/src/registry.rs
+++ b/components/router/src/registry.rs
@@ -130,36 +130,36 @@
     pub(crate) fn record_failure(
         &self,
         id: &EndpointId,
-        life: Option<EndpointIncarnation>,
+        incarnation: Option<EndpointIncarnation>,
         cause: &str,
     ) {
         let mut table = self.lock();
-        if table.map.get(id).is_some_and(|tracked| tracked.same_incarnation(life)) {
+        if table.map.get(id).is_some_and(|tracked| tracked.same_incarnation(incarnation)) {
             table.pause(id, cause);
         }
     }
 
-    /// Applies the hints in an endpoint's answer. `life` is the incarnation that answered, if known; `same` tells whether
+    /// Applies the hints in an endpoint's answer. `incarnation` is the one that answered, if known; `same` tells whether
     /// the endpoint listed now is the one that answered.
     pub(crate) fn apply_hints(
         &self,
         id: &EndpointId,
-        life: Option<EndpointIncarnation>,
-        notice: EndpointHints,
+        incarnation: Option<EndpointIncarnation>,
+        hints: EndpointHints,
         same: impl Fn(&TrackedEndpoint) -> bool,
     ) {
-        if notice == EndpointHints::default() {
+        if hints == EndpointHints::default() {
             return;
         }
-        let after = notice.retry_after.map(|after| after.min(MAX_BACKOFF));
+        let after = hints.retry_after.map(|after| after.min(MAX_BACKOFF));
         let backoff_until = after.map(|after| Instant::now() + after);
         let new =
-            ReceivedHints { draining: notice.draining, backoff_until, received_at: wall_clock() };
+            ReceivedHints { draining: hints.draining, backoff_until, received_at: wall_clock() };
         let mut table = self.lock();
         let Some(tracked) = table.map.get_mut(id) else {
             // The endpoint may be listed again by an entry that is older than these hints.
-            let hints = table.past_hints(id, life).merge(new);
-            return table.remember_hints(id, life, hints);
+            let hints = table.past_hints(id, incarnation).merge(new);
+            return table.remember_hints(id, incarnation, hints);
         };
         if !same(tracked) {
             return;
@@ -169,7 +169,7 @@
         if tracked.hints.draining {
             tracked.pool.retire();
         }
-        if accepted && notice.draining {
+        if accepted && hints.draining {
             let (addr, cause) =
                 (tracked.endpoint.addr.to_string(), "it announced that it is draining");
             emit(&Event::Member { endpoint: id.as_str(), addr, stage: "draining", cause });
@@ -189,10 +189,10 @@
     }
 
     /// Records that an incarnation of an endpoint answered.
-    pub(crate) fn record_success(&self, id: &EndpointId, life: Option<EndpointIncarnation>) {
+    pub(crate) fn record_success(&self, id: &EndpointId, incarnation: Option<EndpointIncarnation>) {
         let mut table = self.lock();
         if let Some(tracked) =
-            table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(life))
+            table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(incarnation))
         {
             tracked.consecutive_failures = 0;
             tracked.paused_until = None;
@@ -204,11 +204,11 @@
     pub(crate) fn record_missing_model(
         &self,
         id: &EndpointId,
-        life: Option<EndpointIncarnation>,
+        incarnation: Option<EndpointIncarnation>,
         model: &ModelId,
     ) {
         let mut table = self.lock();
-        let tracked = table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(life));
+        let tracked = table.map.get_mut(id).filter(|tracked| tracked.same_incarnation(incarnation));
         let Some(tracked) = tracked else { return };
         let holdings = match &mut tracked.state {
             Some((state, _)) => Some(&mut state.holdings),
@@ -270,7 +270,7 @@
     pub(crate) fn pending_cold_load(&self, model: &ModelName) -> Option<&EndpointId> {
         let mut asked = self.map.iter().filter(|(_, tracked)| {
             let open =
-                tracked.open_loads.iter().any(|(id, asks)| id.model == *model && asks.open > 0);
+                tracked.open_loads.iter().any(|(id, loads)| id.model == *model && loads.open > 0);
             let now = Instant::now();
             open && tracked.holdings(now).is_some_and(|held| held.tier(model) == Tier::Store)
         });
@@ -283,25 +283,20 @@
     }
 
     /// How many replicas a model needs. `waiting` is the number of requests that wait for it at this router and the time their
-    /// prompts take, `slots` the slots of one endpoint, and `tight` whether models wait for accelerator memory.
+    /// prompts take, `slots` the slots of one endpoint, and `memory_scarce` whether models wait for accelerator memory.
     pub(crate) fn replicas_needed(
         &self,
         model: &ModelName,
         slots: u32,
         waiting: (u32, Duration),
-        tight: bool,
+        memory_scarce: bool,
     ) -> u32 {
         let uses = self.map.values().filter_map(|tracked| tracked.uses.get(model));
         let running = uses.map(|usage| usage.running).sum();
-        let pressure = ScalingInputs {
-            routers: self.routers(),
-            running,
-            slots,
-            waiting,
-            memory_scarce: tight,
-        };
+        let inputs =
+            ScalingInputs { routers: self.routers(), running, slots, waiting, memory_scarce };
         let demand = self.demands.get(model).copied().unwrap_or_default();
-        demand.replicas_needed(&pressure, Instant::now())
+        demand.replicas_needed(&inputs, Instant::now())
     }
 
     /// The number of routers that the loaders hear from; at least this one.
@@ -368,7 +363,7 @@
     pub(crate) fn remember_hints(
         &mut self,
         id: &EndpointId,
-        life: Option<EndpointIncarnation>,
+        incarnation: Option<EndpointIncarnation>,
         hints: ReceivedHints,
     ) {
         if hints == ReceivedHints::default() {
@@ -377,19 +372,20 @@
         if self.past_hints.len() == MAX_PAST_HINTS {
             self.past_hints.pop_front();
         }
-        self.past_hints.push_back((id.clone(), life, hints));
+        self.past_hints.push_back((id.clone(), incarnation, hints));
     }
 
     /// The hints of an incarnation of an endpoint that was listed before.
     pub(crate) fn past_hints(
         &self,
         id: &EndpointId,
-        life: Option<EndpointIncarnation>,
+        incarnation: Option<EndpointIncarnation>,
     ) -> ReceivedHints {
         let mut all = self.past_hints.iter().rev();
         let found = all.find(|(other, then, hints)| {
             other == id
-                && (!EndpointIncarnation::differ(*then, life) || hints.is_from_incarnation(life))
+                && (!EndpointIncarnation::differ(*then, incarnation)
+                    || hints.is_from_incarnation(incarnation))
         });
         found.map(|(_, _, hints)| *hints).unwrap_or_default()
     }
--- a/components/router/src/roster.rs
+++ b/components/router/src/roster.rs
@@ -31,7 +31,7 @@
         if wait_for_limits && catalog.wait_for(limited).await.is_err() {
             return;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let wait = if lost_since.is_some() { Duration::ZERO } else { READ_WAIT };
         let mut result = read(&shared, &mut follower, wait).await;
         if result.is_ok() && catalog.wait_for(limited).await.is_err() {
@@ -48,7 +48,7 @@
                     let (dependency, after_ms) = (Dependency::Roster, millis(since.elapsed()));
                     emit(&Event::Regained { dependency, name: "store", after_ms });
                 }
-                tokio::time::sleep_until(begun + MIN_READ_INTERVAL).await;
+                tokio::time::sleep_until(started + MIN_READ_INTERVAL).await;
             }
             Err(error) => {
                 if lost_since.is_none() {
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -26,7 +26,7 @@
 /// that doesn't is down or unreachable.
 const ROUTER_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often a router that has a configuration and a list asks another one. A draining endpoint is then known within two
-/// seconds, including the delay of the router that is asked.
+/// seconds, including the delay of the router that is calls.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// How often a router that has no configuration or no list asks all others: every moment costs all requests that arrive.
 const START_INTERVAL: Duration = Duration::from_millis(200);
@@ -37,19 +37,19 @@
     let (Some(catalog), Some(newer)) = (shared.current(), shared.known.snapshot_since(have)) else {
         return web::text(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n");
     };
-    let proved = shared.access.confirmed_version(&catalog);
-    if proved.is_none() && catalog.version <= have.version && newer.read <= have.read {
+    let confirmed = shared.access.confirmed_version(&catalog);
+    if confirmed.is_none() && catalog.version <= have.version && newer.read <= have.read {
         return web::text(StatusCode::NO_CONTENT, "");
     }
     let catalog = (catalog.version > have.version).then(|| Catalog::clone(&catalog));
-    web::json(StatusCode::OK, &Snapshot { catalog, confirmed: proved, ..newer })
+    web::json(StatusCode::OK, &Snapshot { catalog, confirmed, ..newer })
 }
 
 /// Asks other routers while this one can't read the store.
 pub(crate) async fn follow(shared: Arc<Shared>) {
-    let mut still = shared.stale_feeds.subscribe();
+    let mut stale = shared.stale_feeds.subscribe();
     let mut turn = 0;
-    while still.wait_for(|still| still.any()).await.is_ok() {
+    while stale.wait_for(|stale| stale.any()).await.is_ok() {
         let mut others = shared.other_routers();
         let starting = shared.away_since().is_some();
         if !starting && !others.is_empty() {
@@ -63,17 +63,17 @@
 
 /// Asks several routers at the same time, and applies what they have read beyond this router's position.
 async fn ask(shared: &Arc<Shared>, routers: Vec<SocketAddr>) {
-    let mut asked = JoinSet::new();
+    let mut calls = JoinSet::new();
     let have = shared.position();
     let sent = Moment::now();
     for router in routers {
         let client = shared.client.clone();
-        asked.spawn(async move {
+        calls.spawn(async move {
             let snapshot = control::fetch_snapshot(&client, router, have, ROUTER_TIMEOUT).await;
             (router, snapshot)
         });
     }
-    while let Some(Ok((router, snapshot))) = asked.join_next().await {
+    while let Some(Ok((router, snapshot))) = calls.join_next().await {
         match snapshot {
             Ok(Some(snapshot)) => apply(shared, &router.to_string(), snapshot, sent),
             Ok(None) => {}
@@ -84,7 +84,7 @@
 
 /// Applies another router's answer to a request that was sent at `sent`.
 fn apply(shared: &Arc<Shared>, router: &str, mut snapshot: Snapshot, sent: Moment) {
-    let proved = snapshot.confirmed;
+    let confirmed = snapshot.confirmed;
     let endpoints = snapshot.endpoints.len();
     let catalog = snapshot.catalog.take();
     let version = catalog.as_ref().map_or(0, |catalog| catalog.version.0);
@@ -95,10 +95,10 @@
     if let Some(catalog) = catalog {
         adopt_catalog(shared, catalog);
     }
-    if let Some(proved) = proved
-        && shared.current().is_some_and(|current| current.version == proved.version)
+    if let Some(confirmed) = confirmed
+        && shared.current().is_some_and(|current| current.version == confirmed.version)
     {
-        shared.access.record_peer_read(sent, proved.age);
+        shared.access.record_peer_read(sent, confirmed.age);
     }
     if let Some(to_check) = shared.known.apply_snapshot(snapshot) {
         missing::watch(shared, to_check);
