--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -1,4 +1,4 @@
-//! One task for each loader: it asks for news, says what this router uses, and asks for models.
+//! One task for each loader: it polls the loader for changes, reports the use of its models, and asks it to load models.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,65 +14,67 @@
 
 use crate::shared::Shared;
 
-/// How long a loader is asked to wait for news where there are few; uses are told at least this often.
-const WAIT: Duration = Duration::from_millis(1_000);
-/// A router asks no more loaders than this a second while there is no news, or the bytes of all routers together grow with
-/// routers times loaders: news are told at once however long a question waits.
-const ASKED: u32 = 40;
-/// The longest wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// The same while a model makes room and waits for the last of its requests.
-const DRAIN_WAIT: Duration = Duration::from_millis(60);
-/// The first pause after a failed call.
-const RETRY: Duration = Duration::from_millis(200);
-/// The longest pause.
-const LONGEST: Duration = Duration::from_secs(1);
-/// News of one loader are read at this pace, so that a burst of changes is one message.
-const PACE: Duration = Duration::from_millis(20);
-/// When an endpoint is asked again for a model, after its loader could not be reached.
-const AGAIN: Duration = Duration::from_millis(500);
+/// How long a loader is asked to hold a poll while there is nothing new, if there are few loaders. Model use is reported at
+/// least this often.
+const MIN_POLL_WAIT: Duration = Duration::from_millis(1_000);
+/// The most polls of all loaders per second while nothing changes. Without a limit, the traffic of all routers together
+/// would grow with routers times loaders. Changes are reported at once however long a poll is held.
+const MAX_POLLS_PER_SECOND: u32 = 40;
+/// The longest time for which a loader is asked to hold a poll.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(10);
+/// The same while a loader evicts a model and waits for its last requests.
+const EVICTION_POLL_WAIT: Duration = Duration::from_millis(60);
+/// The first pause after a failed poll.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The longest pause after failed polls.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// The pause after each answered poll of a loader, so that a burst of changes is one message.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long an endpoint is not asked for a model after its loader could not be reached.
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
 
 /// Starts a task for each endpoint with models that has none.
 pub(crate) fn start_new(shared: &Arc<Shared>) {
-    let mut peers = shared.known.lock();
-    for peer in peers.map.values_mut() {
-        if peer.loader_task.is_none() && peer.endpoint.holdings.is_some() {
-            let endpoint = &peer.endpoint;
-            let follow = follow(
+    let mut table = shared.known.lock();
+    for tracked in table.map.values_mut() {
+        if tracked.loader_task.is_none() && tracked.endpoint.holdings.is_some() {
+            let endpoint = &tracked.endpoint;
+            let task = poll_loader(
                 shared.clone(),
                 endpoint.id.clone(),
                 endpoint.addr,
                 endpoint.service.clone(),
             );
-            peer.loader_task = Some(tokio::spawn(follow).abort_handle());
+            tracked.loader_task = Some(tokio::spawn(task).abort_handle());
         }
     }
 }
 
-async fn follow(shared: Arc<Shared>, id: EndpointId, addr: SocketAddr, service: ServiceName) {
+async fn poll_loader(shared: Arc<Shared>, id: EndpointId, addr: SocketAddr, service: ServiceName) {
     let loader = shared.loader_client(addr);
     let mut seen = 0;
-    let mut pause = RETRY;
-    let mut leaving = false;
-    // Whether it does not know yet what its endpoint can hold.
-    let mut unaware = true;
-    let mut lost: Option<Instant> = None;
+    let mut pause = FIRST_RETRY_PAUSE;
+    let mut evicting = false;
+    // Whether the loader does not know yet what its endpoint can hold.
+    let mut engine_unknown = true;
+    let mut lost_since: Option<Instant> = None;
     loop {
-        let (life, uses, calm) = {
-            let mut peers = shared.known.lock();
-            let Some(uses) = peers.take_uses(&id, Instant::now()) else { return };
-            let loaders = peers.map.values().filter(|peer| peer.loader_task.is_some()).count();
-            let Some(peer) = peers.map.get_mut(&id) else { return };
-            peer.poll_wait = poll_wait(loaders);
-            (peer.endpoint.incarnation, uses, peer.poll_wait)
+        let (incarnation, uses, idle_wait) = {
+            let mut table = shared.known.lock();
+            let Some(uses) = table.take_uses(&id, Instant::now()) else { return };
+            let loaders =
+                table.map.values().filter(|tracked| tracked.loader_task.is_some()).count();
+            let Some(tracked) = table.map.get_mut(&id) else { return };
+            tracked.poll_wait = poll_wait(loaders);
+            (tracked.endpoint.incarnation, uses, tracked.poll_wait)
         };
         let router = shared.instance.clone();
-        let wait = if leaving { DRAIN_WAIT } else { calm };
+        let wait = if evicting { EVICTION_POLL_WAIT } else { idle_wait };
         let (endpoint, era) = (id.clone(), shared.store.era());
-        let poll = PollRequest { router, endpoint, incarnation: life, era, seen, wait, uses };
+        let poll = PollRequest { router, endpoint, incarnation, era, seen, wait, uses };
         match loader.poll(&poll).await {
             Ok(polled) => {
-                if let Some(since) = lost.take() {
+                if let Some(since) = lost_since.take() {
                     let after_ms = millis(since.elapsed());
                     let name = id.as_str();
                     emit(&Event::DependencyRegained {
@@ -81,29 +83,29 @@
                         after_ms,
                     });
                 }
-                pause = RETRY;
+                pause = FIRST_RETRY_PAUSE;
                 match polled {
                     PollResponse::Changed(state) => {
                         seen = state.version;
-                        unaware = state.engine_version == Revision(0);
-                        leaving = !state.holdings.evicting.is_empty();
+                        engine_unknown = state.engine_version == Revision(0);
+                        evicting = !state.holdings.evicting.is_empty();
                         shared.apply_endpoint_state(&id, *state);
                     }
                     PollResponse::Unchanged(load) => {
                         if !shared.known.refresh_load(&id, load) {
-                            // What it held is forgotten since: it may have started again.
+                            // What the endpoint held has been discarded since: it may have restarted.
                             seen = 0;
                         }
                     }
                 }
-                if unaware {
-                    tell_engine(&shared, &loader, &service).await;
+                if engine_unknown {
+                    send_engine(&shared, &loader, &service).await;
                 }
-                tokio::time::sleep(PACE).await;
+                tokio::time::sleep(MIN_POLL_INTERVAL).await;
             }
             Err(error) => {
-                if lost.is_none() {
-                    lost = Some(Instant::now());
+                if lost_since.is_none() {
+                    lost_since = Some(Instant::now());
                     let (name, cause) = (id.as_str(), error.to_string());
                     emit(&Event::DependencyLost {
                         dependency: Dependency::Loader,
@@ -113,31 +115,33 @@
                 }
                 seen = 0;
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
 }
 
-/// How long each of so many loaders is asked to wait for news.
+/// How long each of `loaders` loaders is asked to hold a poll.
 pub(crate) fn poll_wait(loaders: usize) -> Duration {
-    let wait = Duration::from_secs(1) / ASKED * u32::try_from(loaders).unwrap_or(u32::MAX);
-    wait.clamp(WAIT, LONGEST_WAIT)
+    let wait =
+        Duration::from_secs(1) / MAX_POLLS_PER_SECOND * u32::try_from(loaders).unwrap_or(u32::MAX);
+    wait.clamp(MIN_POLL_WAIT, MAX_POLL_WAIT)
 }
 
-/// Tells a loader what its endpoint can hold, if that is known here.
-async fn tell_engine(shared: &Shared, loader: &LoaderClient, service: &ServiceName) {
+/// Sends a loader the engine that its endpoint runs, if the configuration here has one.
+async fn send_engine(shared: &Shared, loader: &LoaderClient, service: &ServiceName) {
     let Some(catalog) = shared.current() else { return };
     let Some(engine) = catalog.service(service).and_then(|service| service.engine.clone()) else {
         return;
     };
-    let news = EngineUpdate { version: catalog.version, engine };
-    if let Err(error) = loader.update_engine(&news).await {
-        log::debug!("router: a loader did not take the engine: {error}");
+    let update = EngineUpdate { version: catalog.version, engine };
+    if let Err(error) = loader.update_engine(&update).await {
+        log::debug!("router: a loader did not accept the engine: {error}");
     }
 }
 
-/// Asks the loader of an endpoint for a model, unless it has been asked already and not many more wait since.
+/// Asks the loader of an endpoint for a model, unless it is being asked already and fewer than twice as many requests wait
+/// for the model since.
 pub(crate) fn request_load(
     shared: &Arc<Shared>,
     id: &EndpointId,
@@ -146,23 +150,23 @@
 ) {
     let mut waiting;
     let (addr, rate) = {
-        let mut peers = shared.known.lock();
-        waiting = peers.waiting.get(&target.model).copied().unwrap_or(0);
-        let Some(peer) = peers.map.get_mut(id) else { return };
-        let asks = peer.open_loads.entry(target.clone()).or_default();
+        let mut table = shared.known.lock();
+        waiting = table.waiting.get(&target.model).copied().unwrap_or(0);
+        let Some(tracked) = table.map.get_mut(id) else { return };
+        let loads = tracked.open_loads.entry(target.clone()).or_default();
         if request.urgent {
             waiting = waiting.max(1);
         }
-        if asks.open > 0 && waiting < asks.waiting.max(1) * 2 {
+        if loads.open > 0 && waiting < loads.waiting.max(1) * 2 {
             return;
         }
-        asks.waiting = waiting;
-        asks.open += 1;
-        let addr = peer.endpoint.addr;
+        loads.waiting = waiting;
+        loads.open += 1;
+        let addr = tracked.endpoint.addr;
         let now = Instant::now();
-        let rate = peers.request_rate(&target.model, now);
+        let rate = table.request_rate(&target.model, now);
         if request.cold {
-            peers.cold.add_request(id, &target.model, now);
+            table.cold.add_request(id, &target.model, now);
         }
         (addr, rate)
     };
@@ -180,30 +184,30 @@
         waiting: if request.urgent { waiting } else { 0 },
         rate,
     };
-    tokio::spawn(ask(shared.clone(), addr, ensure));
+    tokio::spawn(send_load_request(shared.clone(), addr, ensure));
 }
 
-/// How much a model is wanted.
+/// How a model is to be loaded.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LoadRequest {
-    /// Whether a request waits for it; else it is prepared for later.
+    /// Whether a request waits for the model; if not, it is prefetched.
     pub(crate) urgent: bool,
-    /// How long it is waited for.
+    /// How long the model is waited for.
     pub(crate) within: Duration,
     /// How long the load is expected to take.
     pub(crate) expect: Duration,
-    /// Whether it comes from the weight store.
+    /// Whether the model is loaded from the weight store.
     pub(crate) cold: bool,
 }
 
-async fn ask(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
-    let ensured = shared.loader_client(addr).ensure(&ensure).await;
-    let (pause, cause) = match &ensured {
-        Ok(ensured) => match ensured.outcome {
+async fn send_load_request(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
+    let response = shared.loader_client(addr).ensure(&ensure).await;
+    let (pause, cause) = match &response {
+        Ok(response) => match response.outcome {
             EnsureOutcome::Ready => (Duration::ZERO, String::new()),
             EnsureOutcome::Refused(after) => (after, NO_ROOM.to_owned()),
         },
-        Err(error) => (AGAIN, error.to_string()),
+        Err(error) => (UNREACHABLE_PAUSE, error.to_string()),
     };
     let EnsureRequest { endpoint: id, target, .. } = ensure;
     if !pause.is_zero() {
@@ -214,25 +218,25 @@
             cause: &cause,
         });
     }
-    if let Ok(ensured) = ensured {
-        shared.apply_endpoint_state(&id, ensured.state);
+    if let Ok(response) = response {
+        shared.apply_endpoint_state(&id, response.state);
     }
-    let mut peers = shared.known.lock();
-    peers.cold.remove_request(&id, &target.model);
-    if let Some(peer) = peers.map.get_mut(&id) {
-        if let Some(asks) = peer.open_loads.get_mut(&target) {
-            asks.open -= 1;
-            if asks.open == 0 {
-                peer.open_loads.remove(&target);
+    let mut table = shared.known.lock();
+    table.cold.remove_request(&id, &target.model);
+    if let Some(tracked) = table.map.get_mut(&id) {
+        if let Some(loads) = tracked.open_loads.get_mut(&target) {
+            loads.open -= 1;
+            if loads.open == 0 {
+                tracked.open_loads.remove(&target);
             }
         }
         if pause.is_zero() {
-            peer.refused_until.remove(&target);
+            tracked.refused_until.remove(&target);
         } else {
-            peer.refused_until.insert(target, Instant::now() + pause);
+            tracked.refused_until.insert(target, Instant::now() + pause);
         }
     }
-    drop(peers);
+    drop(table);
     shared.known.changed.notify_waiters();
 }
 
--- a/components/router/src/loader_task/tests.rs
+++ b/components/router/src/loader_task/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of how loaders are asked.
+//! Tests of how often loaders are polled.
 
 use super::*;
 
 #[test]
-fn all_loaders_together_are_asked_a_bounded_number_of_times_a_second() {
-    assert_eq!(poll_wait(0), WAIT);
-    assert_eq!(poll_wait(38), WAIT);
+fn all_loaders_together_are_polled_a_bounded_number_of_times_a_second() {
+    assert_eq!(poll_wait(0), MIN_POLL_WAIT);
+    assert_eq!(poll_wait(38), MIN_POLL_WAIT);
     assert_eq!(poll_wait(200), Duration::from_secs(5));
-    assert_eq!(poll_wait(2_600), LONGEST_WAIT);
+    assert_eq!(poll_wait(2_600), MAX_POLL_WAIT);
 }
