--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -1,9 +1,10 @@
-//! Lets callers in by their keys.
+//! Authenticates callers by their keys.
 //!
-//! Load pattern: a key is taken away while some routers can't read the store, and callers go on using it; another one is new, and
-//! its first requests come to routers that have not read of it yet; somebody tries one wrong key after the other. A router
-//! serves keys only on a proof that is young enough, and asks the store before it refuses a key that may be new, all who wait
-//! together and not often.
+//! Load pattern: a key is revoked while some routers can't read the store, and callers go on using
+//! it; another key is new, and its first requests reach routers that have not read it yet; a
+//! client tries one wrong key after the other. A router serves keys only while its last read of
+//! the store is recent enough, and reads the store before it refuses a key that may be new. All
+//! requests that wait for such a read share it, and the reads are limited in rate.
 
 use std::collections::{HashSet, VecDeque};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,44 +21,44 @@
 use tokio::time::Instant;
 use units::Span;
 
-use crate::flight::Failure;
-use crate::shared::{Shared, back_after};
+use crate::in_flight::Failure;
+use crate::shared::{Shared, outage_retry_after};
 
-/// The store is not asked more often than this about keys that nobody knows.
+/// Minimum interval between reads of the store on behalf of unknown keys.
 pub(crate) const MIN_READ_INTERVAL: Duration = Duration::from_millis(1_000);
-/// So many requests wait for that at a time; others are told to come back.
-const WAITING: usize = 64;
-/// The longest that they wait: a read of the store takes some milliseconds.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Keys that were taken away are remembered, so that their callers cost no reads.
-const REVOKED: usize = 4_096;
-/// Keys that were refused are kept for operators, so many at most.
-const DENIED: usize = 64;
+/// How many requests may wait for such a read at once; further requests are told to retry later.
+const MAX_WAITING_REQUESTS: usize = 64;
+/// The longest that a request waits for such a read, which takes a few milliseconds.
+const MAX_READ_WAIT: Duration = Duration::from_millis(1_500);
+/// How many revoked keys are remembered, so that their callers cause no reads of the store.
+const MAX_REVOKED_KEYS: usize = 4_096;
+/// How many refused keys are kept for operators.
+const MAX_DENIED_KEYS: usize = 64;
 
 /// What a router knows of keys besides the configuration.
 #[derive(Debug, Default)]
-pub(crate) struct Access {
-    proof: watch::Sender<Proof>,
+pub(crate) struct KeyState {
+    freshness: watch::Sender<Proof>,
     revoked: Mutex<HashSet<KeyDigest>>,
     waiting: AtomicUsize,
     denied: Mutex<VecDeque<DeniedKey>>,
-    /// Told when the store is to be asked at once.
+    /// Notified when the store is to be read at once.
     pub(crate) read_requested: Notify,
 }
 
-/// A caller that was let in.
+/// The identity of a caller that was admitted.
 #[derive(Debug, Clone)]
 pub(crate) enum Identity {
-    /// There are no workspaces.
+    /// The configuration has no workspaces.
     Unmanaged,
-    /// It belongs to none.
+    /// The caller belongs to no workspace, and the route admits callers without a key.
     Anonymous,
-    /// It belongs to this one.
+    /// The caller belongs to this workspace.
     Member(Arc<Workspace>),
 }
 
 impl Identity {
-    /// The workspace, if it belongs to one.
+    /// The workspace of the caller, if it belongs to one.
     pub(crate) fn workspace(&self) -> Option<&Workspace> {
         match self {
             Self::Member(workspace) => Some(workspace),
@@ -66,119 +67,122 @@
     }
 }
 
-impl Access {
+impl KeyState {
     fn revoked(&self) -> MutexGuard<'_, HashSet<KeyDigest>> {
         self.revoked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes that a read of the store which was sent then showed that there is no newer configuration.
+    /// Records that a read of the store which was sent at `sent` found no newer configuration.
     pub(crate) fn record_read(&self, sent: Moment) {
-        self.proof.send_modify(|proof| proof.extend(sent));
+        self.freshness.send_modify(|freshness| freshness.extend(sent));
     }
 
-    /// Takes the word of another router, asked at a moment, on the configuration that is in force here.
+    /// Records that another router, asked at `sent`, had read the store `age` before and has the
+    /// same configuration as this one.
     pub(crate) fn record_peer_read(&self, sent: Moment, age: Duration) {
-        self.proof.send_modify(|proof| proof.extend_by_word(sent, age));
+        self.freshness.send_modify(|freshness| freshness.extend_by_word(sent, age));
     }
 
-    /// What another router may take for proved of a version.
+    /// The version of the configuration that this router confirms to other routers, and when it
+    /// was last read.
     pub(crate) fn confirmed_version(&self, catalog: &Catalog) -> Option<Proved> {
         catalog.workspaces.as_ref()?;
-        let age = self.proof.borrow().age(Moment::now())?;
+        let age = self.freshness.borrow().age(Moment::now())?;
         Some(Proved { version: catalog.version, age })
     }
 
-    /// Remembers the keys that a new version takes away.
+    /// Updates the revoked keys after a change of the configuration.
     pub(crate) fn update_revoked(&self, before: Option<&Workspaces>, after: Option<&Workspaces>) {
         let holds = |key: &KeyDigest| after.is_some_and(|after| after.holder(key).is_some());
         let mut revoked = self.revoked();
         revoked.retain(|key| !holds(key));
-        let taken = before.into_iter().flat_map(Workspaces::keys).filter(|key| !holds(key));
-        let room = REVOKED.saturating_sub(revoked.len());
-        revoked.extend(taken.take(room).copied());
+        let newly_revoked = before.into_iter().flat_map(Workspaces::keys).filter(|key| !holds(key));
+        let room = MAX_REVOKED_KEYS.saturating_sub(revoked.len());
+        revoked.extend(newly_revoked.take(room).copied());
     }
 
-    /// Whether keys may be served.
-    pub(crate) fn holds(&self, bound: Option<Span>) -> bool {
-        let proof = *self.proof.borrow();
-        bound.is_none_or(|Span(bound)| proof.holds(Moment::now(), bound))
+    /// Whether the last read of the store is recent enough to serve keys.
+    pub(crate) fn is_fresh(&self, bound: Option<Span>) -> bool {
+        let freshness = *self.freshness.borrow();
+        bound.is_none_or(|Span(bound)| freshness.holds(Moment::now(), bound))
     }
 
-    /// When callers may come back to a router that has no proof.
-    pub(crate) fn back(&self) -> Duration {
-        let age = self.proof.borrow().age(Moment::now()).unwrap_or_default();
-        back_after(age)
+    /// `Retry-After` while the last read of the store is too old to serve keys.
+    pub(crate) fn retry_after(&self) -> Duration {
+        let age = self.freshness.borrow().age(Moment::now()).unwrap_or_default();
+        outage_retry_after(age)
     }
 
-    /// How old the proof is.
+    /// Time since the last read of the store that found no newer configuration.
     pub(crate) fn age(&self) -> Option<Duration> {
-        self.proof.borrow().age(Moment::now())
+        self.freshness.borrow().age(Moment::now())
     }
 
-    /// Keys that were refused of late.
-    pub(crate) fn denied(&self) -> Vec<DeniedKey> {
+    /// Keys that were refused recently.
+    pub(crate) fn denied_keys(&self) -> Vec<DeniedKey> {
         let denied = self.denied.lock().unwrap_or_else(PoisonError::into_inner);
         denied.iter().cloned().collect()
     }
 
-    fn note_denied(&self, key: &str, cause: &str) {
+    fn record_denied(&self, key: &str, cause: &str) {
         let mut denied = self.denied.lock().unwrap_or_else(PoisonError::into_inner);
         let before = denied.iter().position(|other| other.key == key);
         let count = before.and_then(|at| denied.remove(at)).map_or(0, |before| before.count);
-        if denied.len() == DENIED {
+        if denied.len() == MAX_DENIED_KEYS {
             denied.pop_front();
         }
         let (key, cause) = (key.to_owned(), cause.to_owned());
         denied.push_back(DeniedKey { key, cause, count: count + 1 });
     }
 
-    /// Waits until the store has been read since a moment; false if that takes too long.
-    async fn read_since(&self, moment: Moment, until: Instant) -> bool {
-        if self.waiting.fetch_add(1, Ordering::Relaxed) >= WAITING {
+    /// Waits until the store has been read since `moment`; false if that takes too long.
+    async fn read_since(&self, moment: Moment, deadline: Instant) -> bool {
+        if self.waiting.fetch_add(1, Ordering::Relaxed) >= MAX_WAITING_REQUESTS {
             self.waiting.fetch_sub(1, Ordering::Relaxed);
             return false;
         }
-        let mut proof = self.proof.subscribe();
+        let mut freshness = self.freshness.subscribe();
         self.read_requested.notify_one();
-        let read = proof.wait_for(|proof| proof.covers(moment));
-        let read = tokio::time::timeout_at(until, read).await.is_ok();
+        let read = freshness.wait_for(|freshness| freshness.covers(moment));
+        let read = tokio::time::timeout_at(deadline, read).await.is_ok();
         self.waiting.fetch_sub(1, Ordering::Relaxed);
         read
     }
 }
 
-/// A request to be let in.
+/// The details of a request that authentication needs.
 #[derive(Debug)]
-pub(crate) struct Arrival<'a> {
-    /// Its id.
-    pub(crate) name: &'a str,
+pub(crate) struct AccessRequest<'a> {
+    /// Id of the request.
+    pub(crate) request_id: &'a str,
     pub(crate) credential: Credential,
     pub(crate) arrived: Moment,
-    /// Until when its caller waits.
-    pub(crate) until: Instant,
+    /// When the caller stops waiting.
+    pub(crate) deadline: Instant,
 }
 
-/// Lets a request in on its route, or says why not; the store is read first for a key that may be new, in which case there
-/// may be a newer configuration afterwards.
-pub(crate) async fn enter(
+/// Authenticates a request for its route, or says why it is refused. For a key that may be new,
+/// the store is read first; then the result is `None`, and the check must be repeated with the
+/// current configuration.
+pub(crate) async fn authenticate(
     shared: &Shared,
     catalog: &Catalog,
     route: &Route,
-    arrival: &Arrival<'_>,
+    request: &AccessRequest<'_>,
 ) -> Result<Option<Identity>, Failure> {
     let bound = shared.settings.borrow().bounds.revoke;
-    let revoked = match arrival.credential {
+    let revoked = match request.credential {
         Credential::Key(key) => shared.access.revoked().contains(&key),
         Credential::Absent | Credential::Malformed => false,
     };
     let lookup = Lookup {
-        credential: arrival.credential,
+        credential: request.credential,
         open: route.open,
         workspaces: catalog.workspaces.as_ref(),
         revoked,
-        proof: *shared.access.proof.borrow(),
+        proof: *shared.access.freshness.borrow(),
         bound: bound.map(|Span(bound)| bound),
-        arrived: arrival.arrived,
+        arrived: request.arrived,
         now: Moment::now(),
     };
     match judge(&lookup) {
@@ -192,45 +196,46 @@
                 Denial::Revoked => "the key was taken away",
                 Denial::Unknown => "no workspace has the key",
             };
-            tell(shared, catalog, arrival, &lookup, cause);
+            log_denial(shared, catalog, request, &lookup, cause);
             let status = StatusCode::UNAUTHORIZED;
             Err(Failure { status, cause: Refusal::Unauthorized, after: None })
         }
         Verdict::Unread => {
-            let until = arrival.until.min(Instant::now() + PATIENCE);
-            if shared.access.read_since(arrival.arrived, until).await {
+            let read_deadline = request.deadline.min(Instant::now() + MAX_READ_WAIT);
+            if shared.access.read_since(request.arrived, read_deadline).await {
                 return Ok(None);
             }
-            tell(shared, catalog, arrival, &lookup, "the store was not read in time");
-            Err(unproved(shared))
+            log_denial(shared, catalog, request, &lookup, "the store was not read in time");
+            Err(stale_keys_failure(shared))
         }
         Verdict::Unproved => {
-            tell(shared, catalog, arrival, &lookup, "the store was not read for too long");
-            Err(unproved(shared))
+            log_denial(shared, catalog, request, &lookup, "the store was not read for too long");
+            Err(stale_keys_failure(shared))
         }
     }
 }
 
-/// The failure of a request whose key may not hold any more.
-pub(crate) fn unproved(shared: &Shared) -> Failure {
-    let (status, after) = (StatusCode::SERVICE_UNAVAILABLE, Some(shared.access.back()));
+/// The failure of a request whose key may have been revoked, because the last read of the store is
+/// too old.
+pub(crate) fn stale_keys_failure(shared: &Shared) -> Failure {
+    let (status, after) = (StatusCode::SERVICE_UNAVAILABLE, Some(shared.access.retry_after()));
     Failure { status, cause: Refusal::Unproved, after }
 }
 
-fn tell(
+fn log_denial(
     shared: &Shared,
     catalog: &Catalog,
-    arrival: &Arrival<'_>,
+    request: &AccessRequest<'_>,
     lookup: &Lookup<'_>,
     cause: &str,
 ) {
-    let key = match arrival.credential {
+    let key = match request.credential {
         Credential::Key(key) => key.to_string(),
         Credential::Absent | Credential::Malformed => String::new(),
     };
-    shared.access.note_denied(&key, cause);
+    shared.access.record_denied(&key, cause);
     emit(&Event::Denied {
-        request: arrival.name,
+        request: request.request_id,
         key: &key,
         cause,
         version: catalog.version.0,
--- a/components/router/src/borrow.rs
+++ b/components/router/src/borrow.rs
@@ -1,7 +1,8 @@
-//! Routers that are short of a workspace's tokens ask others for some.
+//! Routers that are short of tokens of a workspace borrow them from other routers.
 //!
-//! Load pattern: one router gets more of a workspace's requests than its share, while others get less; a failure domain is lost, and all
-//! that it served comes to the rest. What one lends is taken from its bucket before the other one uses it.
+//! Load pattern: one router gets more requests of a workspace than its share, while others get
+//! fewer; or a failure domain is lost, and the remaining routers get its requests. The lender
+//! takes the tokens from its bucket before the borrower uses them.
 
 use std::net::SocketAddr;
 
@@ -17,65 +18,66 @@
 
 use crate::shared::Shared;
 
-/// The largest message of another router.
-const LARGEST: usize = 4 << 10;
+/// Size limit for messages of other routers, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
-/// What others lent.
+/// Tokens that other routers lent.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Borrowed {
+pub(crate) struct BorrowedTokens {
     pub(crate) tokens: f64,
-    /// How many were asked.
-    pub(crate) asked: usize,
+    /// How many routers were asked.
+    pub(crate) routers_asked: usize,
 }
 
-/// Asks others for tokens, a few at a time, until there are enough or nobody is likely to have more. What fits into the bucket
-/// besides is asked for with them.
+/// Borrows tokens from other routers, a few at a time, until there are enough or the others
+/// probably have none left. Each request also asks for as many tokens as the bucket of this router
+/// can hold.
 pub(crate) async fn borrow(
     shared: &Shared,
     workspace: &WorkspaceName,
     terms: Terms,
     missing: f64,
-    begun: Moment,
-) -> Borrowed {
+    start: Moment,
+) -> BorrowedTokens {
     let quotas = &shared.quotas;
-    let mut lent = Borrowed::default();
-    let others: Vec<SocketAddr> = quotas.lenders();
-    // One that has no share yet may use what others have.
-    let equal = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
-    let share = terms.share(quotas.share(Moment::now()).map_or(equal, |share| share.count));
-    let mut lenders = Lenders::new(others, missing, share, rand::random);
-    while lent.tokens < missing && may_ask(begun.elapsed()) {
+    let mut borrowed = BorrowedTokens::default();
+    let routers: Vec<SocketAddr> = quotas.available_lenders();
+    // A router that has no share yet may use what the others have.
+    let equal_shares = u32::try_from(routers.len() + 1).unwrap_or(u32::MAX);
+    let share = terms.share(quotas.share(Moment::now()).map_or(equal_shares, |share| share.count));
+    let mut lenders = Lenders::new(routers, missing, share, rand::random);
+    while borrowed.tokens < missing && may_ask(start.elapsed()) {
         let wave = lenders.next_wave();
-        if wave.is_empty() || is_dry(lent.asked, missing, lent.tokens) {
+        if wave.is_empty() || is_dry(borrowed.routers_asked, missing, borrowed.tokens) {
             break;
         }
-        let each = (missing - lent.tokens + share.depth) / wave.len() as f64;
-        lent.asked += wave.len();
+        let each = (missing - borrowed.tokens + share.depth) / wave.len() as f64;
+        borrowed.routers_asked += wave.len();
         let asked = wave.into_iter().map(|router| {
             let borrow = Borrow { workspace: workspace.clone(), tokens: each };
             let client = shared.client.clone();
             async move { (router, control::ask_tokens(&client, router, &borrow, PATIENCE).await) }
         });
         let mut asked: FuturesUnordered<_> = asked.collect();
-        // One that does not answer is not waited for where the others have enough.
-        while lent.tokens < missing
+        // A router that does not answer is not waited for once the others have lent enough.
+        while borrowed.tokens < missing
             && let Some((router, answer)) = asked.next().await
         {
-            // One that refuses connections says so at once, and may be about to start.
-            quotas.note_silence(router, matches!(answer, Err(CallError::Timeout { .. })));
+            // A router that refuses connections does so at once, and may be about to start.
+            quotas.record_answer(router, matches!(answer, Err(CallError::Timeout { .. })));
             match answer {
-                Ok(Lent { tokens }) => lent.tokens += tokens.max(0.0),
-                Err(error) => log::debug!("router: another one lent nothing: {error}"),
+                Ok(Lent { tokens }) => borrowed.tokens += tokens.max(0.0),
+                Err(error) => log::debug!("router: borrowing tokens from {router} failed: {error}"),
             }
         }
     }
-    quotas.asked(workspace, is_dry(lent.asked, missing, lent.tokens));
-    lent
+    quotas.record_borrowing(workspace, is_dry(borrowed.routers_asked, missing, borrowed.tokens));
+    borrowed
 }
 
-/// Answers another router that is short of tokens.
+/// Answers another router that wants to borrow tokens.
 pub(crate) async fn lend(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
-    let Ok(bytes) = web::read(request.into_body(), LARGEST).await else {
+    let Ok(bytes) = web::read(request.into_body(), MAX_MESSAGE_BYTES).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
     let borrow: Borrow = match serde_json::from_slice(&bytes) {
@@ -92,7 +94,7 @@
     let workspace = workspaces.and_then(|workspaces| workspaces.named(&borrow.workspace));
     let limit = workspace.and_then(|workspace| workspace.limit);
     let lent = limit.and_then(|limit| {
-        let terms = Terms::new(limit, shared.bounds());
+        let terms = Terms::new(limit, shared.quota_bounds());
         shared.quotas.lend(&borrow.workspace, terms, borrow.tokens)
     });
     web::json(StatusCode::OK, &Lent { tokens: lent.unwrap_or(0.0) })
--- a/components/router/src/caller.rs
+++ b/components/router/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, which can be asked whether the caller has left.
+//! The connection of a caller, which can be asked whether the caller has closed it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -10,19 +10,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A caller's connection; its parts share it.
+/// The connection of a caller; its reading and writing halves share the socket.
 #[derive(Debug, Clone)]
-pub(crate) struct Caller(Arc<TcpStream>);
+pub(crate) struct CallerConnection(Arc<TcpStream>);
 
-impl Caller {
+impl CallerConnection {
     pub(crate) fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         Self(Arc::new(stream))
     }
 
-    /// Whether the caller has closed the connection, as far as the system knows. The runtime may know it later: of a
-    /// request and a close that arrive together it is told once.
-    pub(crate) fn gone(&self) -> bool {
+    /// Whether the caller has closed the connection, as the operating system reports it. The async
+    /// runtime may know it later: it is notified only once of a request and a close that arrive
+    /// together.
+    pub(crate) fn is_closed(&self) -> bool {
         let socket = SockRef::from(&*self.0);
         let mut byte = [MaybeUninit::uninit()];
         match Socket::peek(&socket, &mut byte) {
@@ -33,7 +34,7 @@
     }
 }
 
-impl AsyncRead for Caller {
+impl AsyncRead for CallerConnection {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -53,7 +54,7 @@
     }
 }
 
-impl AsyncWrite for Caller {
+impl AsyncWrite for CallerConnection {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/router/src/charge.rs
+++ b/components/router/src/charge.rs
@@ -1,4 +1,5 @@
-//! Takes the tokens of a request from the limit of its workspace, and gives back those of one that ran nowhere.
+//! Charges requests to the quota of their workspace, and refunds those that never reached an
+//! endpoint.
 
 use std::sync::Arc;
 
@@ -10,18 +11,21 @@
 use tokio::time::Instant;
 use units::WorkspaceName;
 
-use crate::borrow::{Borrowed, borrow};
-use crate::flight::Failure;
+use crate::borrow::{BorrowedTokens, borrow};
+use crate::in_flight::Failure;
 use crate::shared::Shared;
 
-/// Tokens for one request. What never reached an endpoint comes back when it is dropped.
+/// The tokens that one request takes from the quota of its workspace. They are refunded on drop if
+/// the request never reached an endpoint.
 #[derive(Debug)]
 pub(crate) struct Charge {
     shared: Arc<Shared>,
     workspace: WorkspaceName,
     limit: Limit,
-    own: Taken,
-    since: Moment,
+    /// Tokens taken from the bucket of this router.
+    own_tokens: Taken,
+    /// When this router got the share that the tokens are of.
+    share_since: Moment,
     /// Whether the request is, or may be, at an endpoint.
     pub(crate) spent: bool,
 }
@@ -29,76 +33,76 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if !self.spent {
-            let terms = Terms::new(self.limit, self.shared.bounds());
-            self.shared.quotas.put_back(&self.workspace, terms, self.own, self.since);
+            let terms = Terms::new(self.limit, self.shared.quota_bounds());
+            self.shared.quotas.refund(&self.workspace, terms, self.own_tokens, self.share_since);
         }
     }
 }
 
-/// Takes the tokens of a request from the limit of its workspace, if that has one. A router that starts waits until `until` at most
-/// until it knows its share.
+/// Takes the tokens of a request from the quota of its workspace, if that has one. A router that
+/// has just started waits until `deadline` at most for its share of the quotas.
 pub(crate) async fn charge(
     shared: &Arc<Shared>,
     catalog: &Catalog,
     workspace: &Workspace,
-    request: &str,
+    request_id: &str,
     tokens: Option<(u32, u32)>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Option<Charge>, Failure> {
     let Some(limit) = workspace.limit else { return Ok(None) };
     let quotas = &shared.quotas;
     let cost = f64::from(workspace.unit.cost(tokens));
-    let bounds = shared.bounds();
+    let bounds = shared.quota_bounds();
     let terms = Terms::new(limit, bounds);
     let name = &workspace.name;
-    quotas.first_read(until).await;
-    let begun = Moment::now();
-    let (own, since) = match quotas.take(name, terms, cost) {
-        Some((own, since)) => (Some(own), since),
-        None => (None, begun),
+    quotas.wait_for_roster(deadline).await;
+    let start = Moment::now();
+    let (own, share_since) = match quotas.take_tokens(name, terms, cost) {
+        Some((own, share_since)) => (Some(own), share_since),
+        None => (None, start),
     };
     let charge = Charge {
         shared: shared.clone(),
         workspace: name.clone(),
         limit,
-        own: own.unwrap_or_default(),
-        since,
+        own_tokens: own.unwrap_or_default(),
+        share_since,
         spent: own.is_none(),
     };
-    let missing = cost - charge.own.tokens;
+    let missing = cost - charge.own_tokens.tokens;
     if missing <= 0.0 {
-        quotas.count(name, cost, true);
+        quotas.record_request(name, cost, true);
         return Ok(Some(charge));
     }
-    let lent = if quotas.may_ask(name) {
-        borrow(shared, name, terms, missing, begun).await
+    let borrowed = if quotas.may_borrow(name) {
+        borrow(shared, name, terms, missing, start).await
     } else {
-        Borrowed::default()
+        BorrowedTokens::default()
     };
-    if begun.elapsed() <= TRANSIT {
-        let used = if lent.tokens >= missing { missing } else { 0.0 };
-        quotas.add(name, terms, lent.tokens - used);
+    if start.elapsed() <= TRANSIT {
+        let used = if borrowed.tokens >= missing { missing } else { 0.0 };
+        quotas.add_borrowed(name, terms, borrowed.tokens - used);
         if used > 0.0 {
-            quotas.count(name, cost, true);
-            // What was lent for a request that runs nowhere in the end is lost.
+            quotas.record_request(name, cost, true);
+            // Borrowed tokens are not refunded if the request is not run in the end.
             return Ok(Some(charge));
         }
     }
     let share = quotas.share(Moment::now());
-    let left = charge.own.tokens;
+    let left = charge.own_tokens.tokens;
     drop(charge);
-    quotas.count(name, cost, false);
+    quotas.record_request(name, cost, false);
     emit(&Event::Limited {
-        request,
+        request: request_id,
         workspace: name.as_str(),
-        cost: whole(cost),
-        left: whole(left),
-        lent: whole(lent.tokens),
-        asked: lent.asked,
+        cost: whole_tokens(cost),
+        left: whole_tokens(left),
+        lent: whole_tokens(borrowed.tokens),
+        asked: borrowed.routers_asked,
         shares: share.map_or(0, |share| share.count),
         version: catalog.version.0,
     });
-    let after = Some(quotas.back(name, terms, cost, bounds.window));
+    let after = Some(quotas.retry_after(name, terms, cost, bounds.window));
     Err(match share {
         Some(_) => {
             let status = StatusCode::TOO_MANY_REQUESTS;
@@ -116,6 +120,6 @@
     clippy::cast_sign_loss,
     reason = "tokens are few and not negative"
 )]
-fn whole(tokens: f64) -> u64 {
+fn whole_tokens(tokens: f64) -> u64 {
     tokens as u64
 }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -1,4 +1,4 @@
-//! Finds the endpoint for a request, or what it waits for.
+//! Chooses the endpoint for a request, or the models to load so that there is one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,263 +13,311 @@
 use crate::endpoint::Peer;
 use crate::known::{NOBODY, Peers};
 use crate::peer::{self, Wish};
-use crate::place::{Place, Waiting};
 use crate::probe;
+use crate::reservation::{Reservation, WaitingRequest};
 use crate::shared::Shared;
 
-/// A request looks again after this time at the latest, since a pause of an endpoint ends without news.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a load is waited for, beyond what it takes, on behalf of callers that were told to come back for it.
-const RETURN: Duration = Duration::from_millis(1_500);
-/// While streams pause for too long, an engine gets so many prompts of this router at once, since it reads them in one go:
-/// where one stream in four paused for too long, a day was worth 0.01 more with this, mean of 15 days; where they seldom
-/// did, 0.02 less.
-const AT_ONCE: u32 = 1;
-/// The next ones are held back for this part of the time within which their callers hope for the first event.
-const HOLD: u32 = 4;
-/// When callers may come back if no endpoint is known.
-const NONE: Duration = Duration::from_millis(1_000);
+/// Interval at which a waiting request searches again: the pause of an endpoint ends without a
+/// notification.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How much later than expected a load may finish and still serve the callers that were refused
+/// with `Retry-After` and come back for the model.
+const CALLER_RETURN_TIME: Duration = Duration::from_millis(1_500);
+/// How many prompts of this router an endpoint processes at once while streams pause for too long:
+/// an engine reads all waiting prompts in one pass, which pauses its streams. It is worth its
+/// delay only where pauses are frequent, so it applies only then.
+const MAX_CONCURRENT_PREFILLS: u32 = 1;
+/// Further requests are held back for the target time divided by this.
+const PREFILL_HOLD_DIVISOR: u32 = 4;
+/// `Retry-After` if no endpoint is left that the request could be sent to.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What a request asks for.
+/// What a request needs of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct RequestNeeds<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) model: Option<&'a ModelId>,
     pub(crate) engine: Option<&'a Engine>,
-    /// Tokens of its prompt.
-    pub(crate) prompt: u32,
-    /// Within this time its caller hopes for the first event.
-    pub(crate) target: Duration,
-    pub(crate) due: Instant,
-    /// Since when it looks for a place.
-    pub(crate) since: Instant,
-    /// Endpoints that have had it.
-    pub(crate) tried: &'a [EndpointId],
-    /// Whether it is kept from others that were at ends of endpoints.
-    pub(crate) apart: bool,
+    /// Tokens of the prompt.
+    pub(crate) prompt_tokens: u32,
+    /// Target for the time to the first event.
+    pub(crate) first_event_target: Duration,
+    pub(crate) deadline: Instant,
+    /// When the request began to look for an endpoint.
+    pub(crate) search_start: Instant,
+    /// Endpoints that the request was already sent to and that it does not go back to.
+    pub(crate) excluded: &'a [EndpointId],
+    /// Whether the request may not share an endpoint with other requests that were at crashed
+    /// endpoints.
+    pub(crate) isolated: bool,
 }
 
-impl Wanted<'_> {
-    /// How long its prompt takes to be read.
-    fn work(&self, peers: &mut Peers) -> Duration {
-        self.model.map_or(Duration::ZERO, |id| peers.demand(&id.model).work(self.prompt))
+impl RequestNeeds<'_> {
+    /// How long an idle endpoint takes to process the prompt.
+    fn prefill_time(&self, table: &mut Peers) -> Duration {
+        self.model.map_or(Duration::ZERO, |id| table.demand(&id.model).work(self.prompt_tokens))
     }
 }
 
-/// Why there is no place.
+/// Why a request gets no endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NoPlace {
-    /// No endpoint of the service can take it.
+pub(crate) enum ReserveError {
+    /// No endpoint of the service can take the request; it may be retried after this time.
     NoEndpoint(Duration),
-    /// The model can't be there in time.
-    Cold(Duration),
+    /// The model can't be loaded before the deadline; the request may be retried after this time.
+    LoadTooSlow(Duration),
 }
 
-/// What is asked of a loader.
-struct Ask {
+/// A model to be loaded on an endpoint.
+struct PlannedLoad {
     id: EndpointId,
     target: ModelId,
-    /// When it is expected.
-    expect: Duration,
-    /// Whether it comes from the weight store.
-    cold: bool,
+    /// How long the load is expected to take.
+    duration: Duration,
+    /// Whether the weights come from the weight store.
+    from_store: bool,
 }
 
-enum Found {
-    Place(Place),
-    /// Nobody holds the model: it is to be loaded on these, the first of which is expected first.
-    Wake(Vec<Ask>),
-    Later(Duration),
-    /// All that may have it want nothing for so long.
-    Away(Duration),
-    Nobody,
+enum SearchResult {
+    Reserved(Reservation),
+    /// No endpoint holds the model: it is to be loaded on these endpoints, the fastest of which
+    /// comes first.
+    Load(Vec<PlannedLoad>),
+    /// No endpoint can serve the request yet; one is expected after this time.
+    Wait(Duration),
+    /// All endpoints that may serve the request have asked for a pause, the first of which ends
+    /// after this time.
+    Paused(Duration),
+    /// No endpoint is left that the request could be sent to.
+    NoEndpoint,
 }
 
-/// The place of a request, once there is one.
-pub(crate) async fn place(shared: &Arc<Shared>, wanted: Wanted<'_>) -> Result<Place, NoPlace> {
-    if let Some(model) = wanted.model {
+/// Reserves an endpoint for a request, and waits until one can serve it.
+pub(crate) async fn reserve(
+    shared: &Arc<Shared>,
+    needs: RequestNeeds<'_>,
+) -> Result<Reservation, ReserveError> {
+    if let Some(model) = needs.model {
         let now = Instant::now();
-        shared.known.lock().demand(&model.model).arrived(wanted.prompt, now);
+        shared.known.lock().demand(&model.model).arrived(needs.prompt_tokens, now);
     }
     let mut waiting = None;
     loop {
         let changed = shared.known.changed.notified();
-        let left = wanted.due.saturating_duration_since(Instant::now());
-        match find(shared, &wanted) {
-            Found::Place(mut place) => {
-                place.cold = waiting.is_some();
-                return Ok(place);
+        let left = needs.deadline.saturating_duration_since(Instant::now());
+        match search(shared, &needs) {
+            SearchResult::Reserved(mut reservation) => {
+                reservation.waited_for_load = waiting.is_some();
+                return Ok(reservation);
             }
-            Found::Away(left) => return Err(NoPlace::NoEndpoint(left)),
-            Found::Nobody => return Err(NoPlace::NoEndpoint(NONE)),
-            Found::Wake(asks) => {
-                let Some(first) = asks.first() else { continue };
-                waiting.get_or_insert_with(|| Waiting::new(shared, &first.target));
-                let outlook = outlook(left, first.expect);
-                // It is asked for in any case: callers that are turned away are told to come back for it.
-                let waits = outlook == Outlook::Wait;
-                for Ask { id, target, expect, cold } in &asks {
-                    let (expect, cold) = (*expect, *cold);
-                    let within = if waits { left } else { expect + RETURN };
-                    // A loader that is not to make room loads the model all the same if it has room.
-                    let urgent = shared.known.lock().may_urge(&target.model, id, asks.len());
+            SearchResult::Paused(left) => return Err(ReserveError::NoEndpoint(left)),
+            SearchResult::NoEndpoint => {
+                return Err(ReserveError::NoEndpoint(NO_ENDPOINT_RETRY_AFTER));
+            }
+            SearchResult::Load(loads) => {
+                let Some(first) = loads.first() else { continue };
+                waiting.get_or_insert_with(|| WaitingRequest::new(shared, &first.target));
+                let outlook = outlook(left, first.duration);
+                // The model is loaded even if the request is refused: its caller is told to come
+                // back for it.
+                let will_wait = outlook == Outlook::Wait;
+                for PlannedLoad { id, target, duration, from_store } in &loads {
+                    let (expect, cold) = (*duration, *from_store);
+                    let within = if will_wait { left } else { expect + CALLER_RETURN_TIME };
+                    // A loader that may not evict other models still loads the model if there is
+                    // room for it.
+                    let urgent = shared.known.lock().may_urge(&target.model, id, loads.len());
                     peer::want(shared, id, target, Wish { urgent, within, expect, cold });
                 }
                 if let Outlook::Refuse(after) = outlook {
-                    return Err(NoPlace::Cold(after));
+                    return Err(ReserveError::LoadTooSlow(after));
                 }
             }
-            Found::Later(expect) => {
+            SearchResult::Wait(expect) => {
                 if let Outlook::Refuse(after) = outlook(left, expect) {
-                    return Err(NoPlace::Cold(after));
+                    return Err(ReserveError::LoadTooSlow(after));
                 }
             }
         }
-        let _ = tokio::time::timeout(LOOK, changed).await;
+        let _ = tokio::time::timeout(SEARCH_INTERVAL, changed).await;
     }
 }
 
-fn find(shared: &Arc<Shared>, wanted: &Wanted<'_>) -> Found {
+fn search(shared: &Arc<Shared>, needs: &RequestNeeds<'_>) -> SearchResult {
     let now = Instant::now();
-    let mut peers = shared.known.lock();
-    let work = wanted.work(&mut peers);
+    let mut table = shared.known.lock();
+    let prefill_time = needs.prefill_time(&mut table);
     let (mut ids, mut candidates) = (Vec::new(), Vec::new());
-    let mut untried = false;
-    for (id, peer) in &peers.map {
-        if peer.endpoint.service != *wanted.service {
+    let mut any_left = false;
+    for (id, tracked) in &table.map {
+        if tracked.endpoint.service != *needs.service {
             continue;
         }
-        untried |= peer.stays() && !wanted.tried.contains(id);
-        if !peer.usable(now) {
-            if peer.doubtful(now) {
-                probe::start(shared, id, &peers);
+        any_left |= tracked.stays() && !needs.excluded.contains(id);
+        if !tracked.usable(now) {
+            if tracked.doubtful(now) {
+                probe::start(shared, id, &table);
             }
             continue;
         }
-        if wanted.tried.contains(id) || wanted.apart && peer.pool.runs().apart > 0 {
+        if needs.excluded.contains(id) || needs.isolated && tracked.pool.runs().apart > 0 {
             continue;
         }
         let refused = |model: &ModelId| {
-            let until = |id: &ModelId| peer.refused.get(id).is_some_and(|until| *until > now);
+            let until = |id: &ModelId| tracked.refused.get(id).is_some_and(|until| *until > now);
             until(model) || until(&ModelId { model: model.model.clone(), adapter: None })
         };
         ids.push(id.clone());
-        candidates.push(peer.candidate(peer.able(now) && !wanted.model.is_some_and(refused), now));
+        candidates
+            .push(tracked.candidate(tracked.able(now) && !needs.model.is_some_and(refused), now));
     }
-    if let Some(left) = peers.back(wanted.service, wanted.tried, now) {
-        return Found::Away(left);
+    if let Some(left) = table.back(needs.service, needs.excluded, now) {
+        return SearchResult::Paused(left);
     }
-    if !untried {
-        // All have turned it away, or there is none: nothing to wait for.
-        return Found::Nobody;
+    if !any_left {
+        // Every endpoint has refused the request, or there is none: there is nothing to wait for.
+        return SearchResult::NoEndpoint;
     }
-    if let Some(served) = placement::serve(&candidates, wanted.model, work, &shared.domain) {
-        if let Some(left) = arriving(&candidates, wanted, served) {
-            return Found::Later(left);
+    if let Some(served) = placement::serve(&candidates, needs.model, prefill_time, &shared.domain) {
+        if let Some(left) = faster_loading_replica(&candidates, needs, served) {
+            return SearchResult::Wait(left);
         }
-        let reading = peers.map.get(&ids[served.index]).map_or(0, |peer| peer.ahead.prompts());
-        if peers.pausing() && reading >= AT_ONCE && now - wanted.since < wanted.target / HOLD {
-            return Found::Later(Duration::ZERO);
+        let prefills =
+            table.map.get(&ids[served.index]).map_or(0, |tracked| tracked.ahead.prompts());
+        if table.pausing()
+            && prefills >= MAX_CONCURRENT_PREFILLS
+            && now - needs.search_start < needs.first_event_target / PREFILL_HOLD_DIVISOR
+        {
+            return SearchResult::Wait(Duration::ZERO);
         }
-        let more = spread(&peers, &candidates, wanted, served);
+        let extra_load = plan_extra_load(&table, &candidates, needs, served);
         let id = ids.swap_remove(served.index);
         drop(candidates);
-        if wanted.model.is_some() && peers.map.get(&id).is_some_and(|peer| peer.doubtful(now)) {
-            probe::start(shared, &id, &peers);
-            return Found::Later(Duration::ZERO);
+        if needs.model.is_some() && table.map.get(&id).is_some_and(|tracked| tracked.doubtful(now))
+        {
+            probe::start(shared, &id, &table);
+            return SearchResult::Wait(Duration::ZERO);
         }
-        let times = (work, served.expect);
-        let place = Place::take(shared, &mut peers, id, wanted.model, times, wanted.apart, now);
-        drop(peers);
-        if let Some(Ask { id, target, expect, cold }) = more {
-            let wish = Wish { urgent: true, within: expect + RETURN, expect, cold };
+        let times = (prefill_time, served.expect);
+        let reservation =
+            Reservation::new(shared, &mut table, id, needs.model, times, needs.isolated, now);
+        drop(table);
+        if let Some(PlannedLoad { id, target, duration: expect, from_store: cold }) = extra_load {
+            let wish = Wish { urgent: true, within: expect + CALLER_RETURN_TIME, expect, cold };
             peer::want(shared, &id, &target, wish);
         }
-        return place.map_or(Found::Nobody, Found::Place);
+        return reservation.map_or(SearchResult::NoEndpoint, SearchResult::Reserved);
     }
-    let (Some(model), Some(engine)) = (wanted.model, wanted.engine) else {
-        return Found::Later(Duration::ZERO);
+    let (Some(model), Some(engine)) = (needs.model, needs.engine) else {
+        return SearchResult::Wait(Duration::ZERO);
     };
-    let tight = placement::tight(&candidates);
-    let count = peers.waiting.get(&model.model).copied().unwrap_or(0);
-    let most = peers.holders(&model.model, engine.slots, (count, work * count), tight);
-    // What comes from the weight store is asked for at one endpoint, also while its loader waits for a lane.
-    let copied = placement::copied(&candidates, &model.model);
-    let asked = peers.asked_cold(&model.model).filter(|_| !copied);
+    let memory_scarce = placement::tight(&candidates);
+    let count = table.waiting.get(&model.model).copied().unwrap_or(0);
+    let max_loads =
+        table.holders(&model.model, engine.slots, (count, prefill_time * count), memory_scarce);
+    // A load from the weight store is requested at one endpoint only, also while its loader waits
+    // for a load permit.
+    let has_copy = placement::copied(&candidates, &model.model);
+    let asked = table.asked_cold(&model.model).filter(|_| !has_copy);
     let asked = asked.and_then(|id| ids.iter().position(|one| one == id));
     let (first, list) = match asked {
         Some(index) => (index, &candidates[index..=index]),
         None => (0, &candidates[..]),
     };
-    let asks: Vec<Ask> = placement::wakes(list, model, engine, Source::First, most as usize)
-        .into_iter()
-        .map(|wake| {
-            // The model first; all adapters of it wait for the same load.
-            let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
-            let target = ModelId { model: model.model.clone(), adapter };
-            let cold = wake.tier == Tier::Store;
-            Ask { id: ids[first + wake.index].clone(), target, expect: wake.expect, cold }
-        })
-        .collect();
-    if let Some(first) = asks.first() {
-        // A holder that takes requests again before a copy is elsewhere is waited for.
-        let back = peers.holder_back(&model.model, now).filter(|left| *left <= first.expect);
-        if let Some(left) = back {
-            return Found::Later(left);
+    let loads: Vec<PlannedLoad> =
+        placement::wakes(list, model, engine, Source::First, max_loads as usize)
+            .into_iter()
+            .map(|wake| {
+                // The base model is loaded first; all of its adapters wait for the same load.
+                let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
+                let target = ModelId { model: model.model.clone(), adapter };
+                let from_store = wake.tier == Tier::Store;
+                PlannedLoad {
+                    id: ids[first + wake.index].clone(),
+                    target,
+                    duration: wake.expect,
+                    from_store,
+                }
+            })
+            .collect();
+    if let Some(first) = loads.first() {
+        // Wait for a replica that accepts requests again before a new replica would be ready.
+        let ready_in = table.holder_back(&model.model, now).filter(|left| *left <= first.duration);
+        if let Some(left) = ready_in {
+            return SearchResult::Wait(left);
         }
-        return Found::Wake(asks);
+        return SearchResult::Load(loads);
     }
-    // No loader can be asked just now.
+    // No loader can be asked now.
     let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.cold);
-    Found::Later(if copied { Duration::ZERO } else { cold })
+    SearchResult::Wait(if has_copy { Duration::ZERO } else { cold })
 }
 
-/// When the first endpoint that may have a request takes any again, if all want nothing for a while.
-pub(crate) fn back(shared: &Arc<Shared>, wanted: &Wanted<'_>) -> Option<Duration> {
-    shared.known.lock().back(wanted.service, wanted.tried, Instant::now())
+/// If all endpoints that may serve a request have asked for a pause: the time until the first of
+/// these pauses ends.
+pub(crate) fn retry_after(shared: &Arc<Shared>, needs: &RequestNeeds<'_>) -> Option<Duration> {
+    shared.known.lock().back(needs.service, needs.excluded, Instant::now())
 }
 
-/// Whether another endpoint than those that were tried is expected to begin a request within this time.
-pub(crate) fn elsewhere(shared: &Arc<Shared>, wanted: &Wanted<'_>, within: Duration) -> bool {
+/// Whether an endpoint that is not in `needs.excluded` is expected to send the first event within
+/// this time.
+pub(crate) fn has_alternative(
+    shared: &Arc<Shared>,
+    needs: &RequestNeeds<'_>,
+    within: Duration,
+) -> bool {
     let now = Instant::now();
-    let mut peers = shared.known.lock();
-    let work = wanted.work(&mut peers);
-    let usable = |peer: &&Peer| {
-        let id = &peer.endpoint.id;
-        peer.endpoint.service == *wanted.service && peer.usable(now) && !wanted.tried.contains(id)
+    let mut table = shared.known.lock();
+    let prefill_time = needs.prefill_time(&mut table);
+    let usable = |tracked: &&Peer| {
+        let id = &tracked.endpoint.id;
+        tracked.endpoint.service == *needs.service
+            && tracked.usable(now)
+            && !needs.excluded.contains(id)
     };
     let candidates: Vec<_> =
-        peers.map.values().filter(usable).map(|peer| peer.candidate(false, now)).collect();
-    placement::serve(&candidates, wanted.model, work, &shared.domain)
+        table.map.values().filter(usable).map(|tracked| tracked.candidate(false, now)).collect();
+    placement::serve(&candidates, needs.model, prefill_time, &shared.domain)
         .is_some_and(|served| served.expect < within)
 }
 
-/// When another holder will be there, if the request is late at those that are and in time at that one.
-fn arriving(candidates: &[Candidate<'_>], wanted: &Wanted<'_>, served: Served) -> Option<Duration> {
-    let model = &wanted.model?.model;
+/// The time until another replica is loaded, if the request would miss its target at the present
+/// replicas and the new one is expected to be faster.
+fn faster_loading_replica(
+    candidates: &[Candidate<'_>],
+    needs: &RequestNeeds<'_>,
+    served: Served,
+) -> Option<Duration> {
+    let model = &needs.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
     let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
-    (served.expect > wanted.target && left < served.expect / 2).then_some(left)
+    (served.expect > needs.first_event_target && left < served.expect / 2).then_some(left)
 }
 
-/// One more endpoint for the model of a request that this one serves.
-fn spread(
-    peers: &Peers,
+/// A further endpoint on which to load the model of a request, if the replicas are too few or too
+/// slow.
+fn plan_extra_load(
+    table: &Peers,
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
+    needs: &RequestNeeds<'_>,
     served: Served,
-) -> Option<Ask> {
-    let (model, engine) = wanted.model.zip(wanted.engine)?;
+) -> Option<PlannedLoad> {
+    let (model, engine) = needs.model.zip(needs.engine)?;
     let base = ModelId { model: model.model.clone(), adapter: None };
     let was_asked = |one: &Candidate<'_>| {
-        peers.map.get(&one.endpoint.id).is_some_and(|peer| peer.wakes.contains_key(&base))
+        table.map.get(&one.endpoint.id).is_some_and(|tracked| tracked.wakes.contains_key(&base))
     };
     let asked: Vec<bool> = candidates.iter().map(was_asked).collect();
-    let tight = placement::tight(candidates);
-    let needed = peers.holders(&base.model, engine.slots, NOBODY, tight) as usize;
-    let target = wanted.target;
+    let memory_scarce = placement::tight(candidates);
+    let needed = table.holders(&base.model, engine.slots, NOBODY, memory_scarce) as usize;
+    let target = needs.first_event_target;
     let holders = Holders { model: &base, asked: &asked, needed, served, target };
     let wake = placement::spread(candidates, engine, &holders)?;
     let id = candidates[wake.index].endpoint.id.clone();
-    Some(Ask { id, target: base, expect: wake.expect, cold: wake.tier == Tier::Store })
+    Some(PlannedLoad {
+        id,
+        target: base,
+        duration: wake.expect,
+        from_store: wake.tier == Tier::Store,
+    })
 }
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -1,4 +1,5 @@
-//! Loads from the weight store that are in progress or asked for, and how many it carries at once.
+//! Loads from the weight store that run or have been requested, and how many of them may run at
+//! once.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,27 +10,30 @@
 use tokio::time::Instant;
 use units::{EndpointId, ModelName};
 
-/// A loader that was asked for a model says within this time that it loads it, room made first; until then the lane
-/// counts as taken. Without that, a router asked for a dozen loads in the moment before the first was told of, and
-/// each took 18 s instead of 6.
-const ASKED: Duration = Duration::from_millis(1_500);
+/// A loader that was asked for a model reports the load within this time, the eviction of other
+/// models included; until then the request counts as a running load. Without this, a router
+/// requests further loads before the first one is reported, and all of them take several times as
+/// long: a dozen at once took 18 s each instead of 6 s.
+const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
+/// A load from the weight store that is running.
 #[derive(Debug, Clone, Copy)]
 struct ColdLoad {
-    since: Instant,
-    beside: Beside,
+    start: Instant,
+    concurrent: Beside,
 }
 
-/// All of them.
+/// All loads from the weight store that this router knows of.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLoads {
-    loads: HashMap<(EndpointId, ModelName), ColdLoad>,
-    asked: HashMap<(EndpointId, ModelName), Instant>,
-    lanes: Lanes,
+    running: HashMap<(EndpointId, ModelName), ColdLoad>,
+    requested: HashMap<(EndpointId, ModelName), Instant>,
+    concurrency: Lanes,
 }
 
 impl ColdLoads {
-    /// Learns from what an endpoint loads now how many loads the weight store carries at once.
+    /// Updates the loads of an endpoint, and learns from those that ended how many loads the
+    /// weight store serves at full speed.
     pub(crate) fn update(
         &mut self,
         id: &EndpointId,
@@ -39,7 +43,7 @@
     ) {
         let current = holdings.loading.as_ref().filter(|loading| loading.cold);
         let ended: Vec<(EndpointId, ModelName)> = self
-            .loads
+            .running
             .keys()
             .filter(|(endpoint, model)| {
                 endpoint == id && current.is_none_or(|loading| loading.model != *model)
@@ -47,53 +51,54 @@
             .cloned()
             .collect();
         for key in ended {
-            let Some(load) = self.loads.remove(&key) else { continue };
+            let Some(load) = self.running.remove(&key) else { continue };
             let spec = engine.and_then(|engine| engine.model(&key.1));
             if let Some(spec) = spec.filter(|_| holdings.holds(&key.1)) {
-                self.lanes.learn(now - load.since, spec.cold, load.beside);
+                self.concurrency.learn(now - load.start, spec.cold, load.concurrent);
             }
         }
         if let Some(loading) = current {
             let key = (id.clone(), loading.model.clone());
-            self.asked.remove(&key);
-            let count = u32::try_from(self.loads.len() + 1).unwrap_or(u32::MAX);
-            let load = ColdLoad { since: now, beside: Beside::all(count) };
-            self.loads.entry(key).or_insert(load);
+            self.requested.remove(&key);
+            let count = u32::try_from(self.running.len() + 1).unwrap_or(u32::MAX);
+            let load = ColdLoad { start: now, concurrent: Beside::all(count) };
+            self.running.entry(key).or_insert(load);
         }
-        let count = u32::try_from(self.loads.len()).unwrap_or(u32::MAX);
-        for load in self.loads.values_mut() {
-            load.beside.see(count);
+        let count = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
+        for load in self.running.values_mut() {
+            load.concurrent.see(count);
         }
     }
 
-    /// A loader is asked for a model that comes from the weight store.
+    /// Records that a loader is asked for a model that is loaded from the weight store.
     pub(crate) fn add_request(&mut self, id: &EndpointId, model: &ModelName, now: Instant) {
-        self.asked.retain(|_, at| now - *at < ASKED);
+        self.requested.retain(|_, at| now - *at < LOAD_REPORT_TIMEOUT);
         let key = (id.clone(), model.clone());
-        if !self.loads.contains_key(&key) {
-            self.asked.entry(key).or_insert(now);
+        if !self.running.contains_key(&key) {
+            self.requested.entry(key).or_insert(now);
         }
     }
 
-    /// A loader has answered for a model.
+    /// Records that a loader has answered the request for a model.
     pub(crate) fn remove_request(&mut self, id: &EndpointId, model: &ModelName) {
-        self.asked.remove(&(id.clone(), model.clone()));
+        self.requested.remove(&(id.clone(), model.clone()));
     }
 
-    /// An endpoint is gone, and its loads with it.
+    /// Removes an endpoint that is gone, and its loads.
     pub(crate) fn remove_endpoint(&mut self, id: &EndpointId) {
-        self.loads.retain(|(endpoint, _), _| endpoint != id);
-        self.asked.retain(|(endpoint, _), _| endpoint != id);
+        self.running.retain(|(endpoint, _), _| endpoint != id);
+        self.requested.retain(|(endpoint, _), _| endpoint != id);
     }
 
-    /// Lanes of the weight store that are free.
+    /// How many more loads from the weight store may start now.
     pub(crate) fn available_permits(&self, now: Instant) -> usize {
-        let asked = self.asked.values().filter(|at| now - **at < ASKED).count();
-        (self.lanes.count() as usize).saturating_sub(self.loads.len() + asked)
+        let requested =
+            self.requested.values().filter(|at| now - **at < LOAD_REPORT_TIMEOUT).count();
+        (self.concurrency.count() as usize).saturating_sub(self.running.len() + requested)
     }
 
-    /// Lanes of the weight store.
+    /// How many loads from the weight store may run at once.
     pub(crate) fn permit_limit(&self) -> usize {
-        self.lanes.count() as usize
+        self.concurrency.count() as usize
     }
 }
--- a/components/router/src/exchange.rs
+++ b/components/router/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one endpoint.
+//! Sends a request to one endpoint.
 
 use std::error::Error as _;
 use std::time::Duration;
@@ -13,84 +13,86 @@
 use tokio::time::Instant;
 use web::Body;
 
-use crate::caller::Caller;
-use crate::place::Place;
+use crate::caller::CallerConnection;
 use crate::pool::Link;
+use crate::reservation::Reservation;
 
-/// How long a connection is kept whose server does not say how long it keeps it.
-const UNSTATED: Duration = Duration::from_millis(500);
-/// The part of the stated time that is used, since the server counts from another moment.
-const STATED: f64 = 0.75;
+/// Idle time after which a connection is closed if the server states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Fraction of the stated idle time that is used, since the server counts from another moment.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
-/// An answer whose head has arrived.
+/// A response of an endpoint whose head has arrived.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct EndpointResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) link: Link,
-    pub(crate) place: Place,
+    pub(crate) connection: Link,
+    pub(crate) reservation: Reservation,
 }
 
-impl Answer {
-    /// Keeps the connection; the body must have been read to its end.
-    pub(crate) fn keep(mut self) {
-        self.place.outlived();
-        let idle = kept_for(&self.head.headers);
-        if !idle.is_zero() {
-            self.place.pool.keep(self.link, idle);
+impl EndpointResponse {
+    /// Clears the request of suspicion and returns the connection to the pool; the body must have
+    /// been read to its end.
+    pub(crate) fn release_connection(mut self) {
+        self.reservation.clear_suspicion();
+        let timeout = idle_timeout(&self.head.headers);
+        if !timeout.is_zero() {
+            self.reservation.pool.keep(self.connection, timeout);
         }
     }
 }
 
-/// What became of a request at one endpoint.
+/// Outcome of sending a request to one endpoint.
 #[derive(Debug)]
-pub(crate) enum Sent {
-    /// An answer began.
-    Answer(Box<Answer>),
-    /// It was not sent, since its caller has left.
-    Left,
-    /// It was not sent, since its endpoint takes no new work any more.
-    Moved,
-    /// It was certainly not sent.
-    Unsent(String),
-    /// It may have run, and no answer came.
-    Broken(String),
-    /// No answer came in time.
-    Late,
-    /// No answer came so far, and it is better off at another endpoint.
-    Elsewhere,
+pub(crate) enum SendOutcome {
+    /// The head of a response has arrived.
+    Response(Box<EndpointResponse>),
+    /// The request was not sent, because its caller has disconnected.
+    CallerLeft,
+    /// The request was not sent, because its endpoint does not accept requests any more.
+    Draining,
+    /// The request was certainly not sent.
+    NotSent(String),
+    /// The request may have run, and the connection failed before a response.
+    Interrupted(String),
+    /// No response came before the deadline; the request may have run.
+    TimedOut,
+    /// No response has come yet, and another endpoint is expected to be faster.
+    Abandoned,
 }
 
-/// What is sent.
+/// The request as it is sent to an endpoint.
 #[derive(Debug, Clone)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// What tells the request from others, whatever its id.
+    /// Identifies the request by its content, whatever its id.
     pub(crate) digest: Digest,
 }
 
-/// How long the head of an answer is waited for.
+/// How long the head of a response is waited for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Patience {
-    /// To the end.
-    pub(crate) due: Instant,
-    /// From then on it may be left for another endpoint, if there is a better one.
-    pub(crate) ask: Option<Instant>,
+pub(crate) struct ResponseDeadlines {
+    /// When the request is given up.
+    pub(crate) deadline: Instant,
+    /// When another endpoint is considered, if the request may be retried.
+    pub(crate) reconsider_at: Option<Instant>,
 }
 
-/// Sends a request and waits for the head of its answer; `leave` says whether it is better off elsewhere.
+/// Sends a request and waits for the head of its response; `should_leave` tells whether another
+/// endpoint would be faster.
 pub(crate) async fn send(
-    mut place: Place,
-    caller: &Caller,
-    outgoing: &Outgoing,
+    mut reservation: Reservation,
+    caller: &CallerConnection,
+    outgoing: &OutgoingRequest,
     sending: &Sending<'_>,
-    patience: Patience,
-    leave: impl Fn() -> bool,
-) -> Sent {
-    let until = patience.due;
+    deadlines: ResponseDeadlines,
+    should_leave: impl Fn() -> bool,
+) -> SendOutcome {
+    let deadline = deadlines.deadline;
     let built = platform::build_request(
         &outgoing.method,
         &outgoing.uri,
@@ -100,99 +102,108 @@
     );
     let mut request = match built {
         Ok(request) => request,
-        Err(error) => return Sent::Unsent(error.to_string()),
+        Err(error) => return SendOutcome::NotSent(error.to_string()),
     };
-    let mut link = match place.pool.take(until).await {
-        Ok(link) => link,
-        Err(error) => return Sent::Unsent(error.to_string()),
+    let mut connection = match reservation.pool.take(deadline).await {
+        Ok(connection) => connection,
+        Err(error) => return SendOutcome::NotSent(error.to_string()),
     };
     loop {
-        if caller.gone() {
-            // The connection is as good as before.
-            if !link.fresh {
-                place.pool.keep(link, UNSTATED);
+        if caller.is_closed() {
+            // Nothing was written on the connection, so it can be used again.
+            if !connection.fresh {
+                reservation.pool.keep(connection, DEFAULT_IDLE_TIMEOUT);
             }
-            return Sent::Left;
+            return SendOutcome::CallerLeft;
         }
-        if !place.open() {
-            // What became known while a connection was made.
-            return Sent::Moved;
+        if !reservation.is_open() {
+            // The endpoint has started to drain while the connection was opened.
+            return SendOutcome::Draining;
         }
-        place.sent(&outgoing.digest);
-        match attempt(&mut link, request, patience, &leave).await {
-            Attempt::Answer(head, body) => {
-                place.heard(head.status, &head.headers);
-                place.begun();
-                return Sent::Answer(Box::new(Answer { head, body, link, place }));
+        reservation.record_sent(&outgoing.digest);
+        match attempt(&mut connection, request, deadlines, &should_leave).await {
+            Attempt::Response(head, body) => {
+                reservation.apply_headers(head.status, &head.headers);
+                reservation.record_begun();
+                return SendOutcome::Response(Box::new(EndpointResponse {
+                    head,
+                    body,
+                    connection,
+                    reservation,
+                }));
             }
-            Attempt::Returned(unsent) if !link.fresh => {
-                // A kept connection was closed before anything was written on it.
+            Attempt::NotSent(unsent) if !connection.fresh => {
+                // The idle connection was closed before anything was written on it.
                 request = *unsent;
-                place.outlived();
-                link = match place.pool.open(until).await {
-                    Ok(link) => link,
-                    Err(error) => return Sent::Unsent(error.to_string()),
+                reservation.clear_suspicion();
+                connection = match reservation.pool.open(deadline).await {
+                    Ok(connection) => connection,
+                    Err(error) => return SendOutcome::NotSent(error.to_string()),
                 };
             }
-            Attempt::Returned(_) => {
-                place.outlived();
-                return Sent::Unsent("the connection was closed".to_owned());
+            Attempt::NotSent(_) => {
+                reservation.clear_suspicion();
+                return SendOutcome::NotSent("the connection was closed".to_owned());
             }
-            Attempt::Broken(cause) => return Sent::Broken(cause),
-            Attempt::Late => return Sent::Late,
-            Attempt::Elsewhere => return Sent::Elsewhere,
+            Attempt::Interrupted(cause) => return SendOutcome::Interrupted(cause),
+            Attempt::TimedOut => return SendOutcome::TimedOut,
+            Attempt::Abandoned => return SendOutcome::Abandoned,
         }
     }
 }
 
+/// Outcome of sending a request on one connection, as in [`SendOutcome`].
 enum Attempt {
-    Answer(response::Parts, Incoming),
-    Returned(Box<Request<Body>>),
-    Broken(String),
-    Late,
-    Elsewhere,
+    Response(response::Parts, Incoming),
+    /// The request was not sent.
+    NotSent(Box<Request<Body>>),
+    Interrupted(String),
+    TimedOut,
+    Abandoned,
 }
 
 async fn attempt(
-    link: &mut Link,
+    connection: &mut Link,
     request: Request<Body>,
-    patience: Patience,
-    leave: impl Fn() -> bool,
+    deadlines: ResponseDeadlines,
+    should_leave: impl Fn() -> bool,
 ) -> Attempt {
-    let mut answer = std::pin::pin!(link.sender.try_send_request(request));
-    if let Some(ask) = patience.ask
-        && let Ok(answer) = tokio::time::timeout_at(ask, answer.as_mut()).await
+    let mut response = std::pin::pin!(connection.sender.try_send_request(request));
+    if let Some(reconsider_at) = deadlines.reconsider_at
+        && let Ok(response) = tokio::time::timeout_at(reconsider_at, response.as_mut()).await
     {
-        return judge(answer);
+        return classify(response);
     }
-    if patience.ask.is_some_and(|ask| ask < patience.due) && leave() {
-        return Attempt::Elsewhere;
+    if deadlines.reconsider_at.is_some_and(|reconsider_at| reconsider_at < deadlines.deadline)
+        && should_leave()
+    {
+        return Attempt::Abandoned;
     }
-    match tokio::time::timeout_at(patience.due, answer).await {
-        Err(_) => Attempt::Late,
-        Ok(answer) => judge(answer),
+    match tokio::time::timeout_at(deadlines.deadline, response).await {
+        Err(_) => Attempt::TimedOut,
+        Ok(response) => classify(response),
     }
 }
 
-fn judge(answer: Result<Response<Incoming>, TrySendError<Request<Body>>>) -> Attempt {
-    match answer {
+fn classify(response: Result<Response<Incoming>, TrySendError<Request<Body>>>) -> Attempt {
+    match response {
         Ok(response) => {
             let (head, body) = response.into_parts();
-            Attempt::Answer(head, body)
+            Attempt::Response(head, body)
         }
         Err(mut error) => match error.take_message() {
-            Some(request) => Attempt::Returned(Box::new(request)),
+            Some(request) => Attempt::NotSent(Box::new(request)),
             None => {
                 let error = error.into_error();
                 let cause = error.source().map(ToString::to_string).unwrap_or_default();
-                Attempt::Broken(format!("{error} {cause}"))
+                Attempt::Interrupted(format!("{error} {cause}"))
             }
         },
     }
 }
 
-/// How long the connection of an answer may be kept.
-fn kept_for(headers: &HeaderMap) -> Duration {
+/// How long the connection of a response may stay idle.
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if text("connection").is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return Duration::ZERO;
@@ -201,7 +212,9 @@
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.parse::<u64>().ok()
     });
-    stated.map_or(UNSTATED, |seconds| Duration::from_secs(seconds).mul_f64(STATED))
+    stated.map_or(DEFAULT_IDLE_TIMEOUT, |seconds| {
+        Duration::from_secs(seconds).mul_f64(IDLE_TIMEOUT_FRACTION)
+    })
 }
 
 #[cfg(test)]
--- a/components/router/src/exchange/tests.rs
+++ b/components/router/src/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how long connections are kept.
+//! Tests of the idle timeout of connections.
 
 use http::HeaderValue;
 use rstest::rstest;
@@ -6,16 +6,16 @@
 use super::*;
 
 #[rstest]
-#[case::not_stated(&[], UNSTATED)]
+#[case::not_stated(&[], DEFAULT_IDLE_TIMEOUT)]
 #[case::stated(&[("keep-alive", "timeout=4, max=10")], Duration::from_secs(3))]
 #[case::closing(&[("keep-alive", "timeout=4"), ("connection", "Close")], Duration::ZERO)]
-fn keeps_a_connection_as_long_as_the_server_does(
+fn keeps_a_connection_no_longer_than_the_server_states(
     #[case] headers: &[(&'static str, &'static str)],
-    #[case] kept: Duration,
+    #[case] expected: Duration,
 ) {
     let headers: HeaderMap = headers
         .iter()
         .map(|(name, value)| ((*name).parse().expect("a name"), HeaderValue::from_static(value)))
         .collect();
-    assert_eq!(kept_for(&headers), kept);
+    assert_eq!(idle_timeout(&headers), expected);
 }
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -83,7 +83,7 @@
 /// The longest pause between failed calls: one that begins right before a silent store returns is given up after the
 /// client's patience, and the next one still has to bring the news within `bound`.
 fn longest(shared: &Shared, bound: Span) -> Duration {
-    let longest = if shared.away_since().is_some() { LONGEST_FIRST } else { LONGEST };
+    let longest = if shared.unreachable_since().is_some() { LONGEST_FIRST } else { LONGEST };
     longest.min(wait(bound, platform::PATIENCE))
 }
 
--- /dev/null
+++ b/components/router/src/in_flight.rs
@@ -0,0 +1,430 @@
+//! A request that is being served: to which endpoint it is sent, and whether it may be retried.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use catalog::{Catalog, Route};
+use events::{Event, Refusal, Step, emit, millis};
+use http::StatusCode;
+use platform::{Call, Reply, Sending};
+use tokio::time::Instant;
+use units::{EndpointId, Life, ServiceName};
+
+use crate::access::{self, Identity};
+use crate::caller::CallerConnection;
+use crate::charge::Charge;
+use crate::choose::{self, RequestNeeds, ReserveError};
+use crate::ended;
+use crate::exchange::{self, EndpointResponse, OutgoingRequest, ResponseDeadlines, SendOutcome};
+use crate::guard::{Barred, Pass};
+use crate::ledger;
+use crate::pool::Pool;
+use crate::reservation::Reservation;
+use crate::shared::Shared;
+
+/// The most times that one request is sent: refusals by full endpoints and closed connections
+/// count too.
+const MAX_SENDS: u32 = 5;
+/// Pause before a refused request is sent again: by then the state of the endpoints has probably
+/// changed.
+const RESEND_DELAY: Duration = Duration::from_millis(20);
+/// `Retry-After` of a request that timed out while waiting: by then the model load that it waited
+/// for has probably finished.
+const WAIT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// A request that may run twice considers another endpoint when no response has arrived within
+/// this many times its target time.
+const TARGET_MULTIPLE: u32 = 3;
+
+/// Why the router answers a request itself, without a response of an endpoint.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Failure {
+    pub(crate) status: StatusCode,
+    pub(crate) cause: Refusal,
+    pub(crate) after: Option<Duration>,
+}
+
+/// A request that is being served.
+#[derive(Debug)]
+pub(crate) struct InFlightRequest {
+    pub(crate) shared: Arc<Shared>,
+    pub(crate) caller: CallerConnection,
+    pub(crate) catalog: Arc<Catalog>,
+    pub(crate) route: Route,
+    pub(crate) service: ServiceName,
+    pub(crate) call: Call,
+    pub(crate) request_id: String,
+    pub(crate) class: String,
+    pub(crate) outgoing: OutgoingRequest,
+    pub(crate) deadline: Instant,
+    /// Latest time at which the request may be sent: the caller of a stream leaves before
+    /// `deadline` if no event arrives.
+    pub(crate) send_by: Instant,
+    pub(crate) excluded: Vec<EndpointId>,
+    /// The incarnation of the endpoint that the request was last sent to.
+    pub(crate) incarnation: Option<Life>,
+    /// How often the request was sent.
+    pub(crate) sends: u32,
+    /// How often the request may have run.
+    pub(crate) runs: u32,
+    /// The connections to the incarnation that the request was last sent to.
+    pub(crate) pool: Option<Arc<Pool>>,
+    /// The workspace that the caller's key belongs to, if any.
+    pub(crate) identity: Identity,
+    /// The tokens that the request takes from the quota of its workspace.
+    pub(crate) charge: Option<Charge>,
+    /// The permit of the crash guard to send the request.
+    pub(crate) permit: Option<Pass>,
+}
+
+impl InFlightRequest {
+    /// Sends the request until an endpoint gives the final response, or it may not be retried.
+    pub(crate) async fn fetch_response(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<EndpointResponse, Failure> {
+        loop {
+            let wait_start = Instant::now();
+            self.acquire_permit().await?;
+            let reservation = self.reserve().await?;
+            let waited = wait_start.elapsed();
+            // After this instance was paused, requests and closed connections arrive together: let
+            // the runtime process the closed connections before anything is sent.
+            self.shared.pulse.settle().await;
+            tokio::task::yield_now().await;
+            if !reservation.is_open() || !self.is_permitted() {
+                // The endpoint has started to drain, or the request has become a crash suspect.
+                continue;
+            }
+            if !self.key_is_fresh() {
+                // The key may have been revoked while the request waited.
+                return Err(access::stale_keys_failure(&self.shared));
+            }
+            let id = reservation.id.clone();
+            self.incarnation = reservation.incarnation;
+            self.pool = Some(reservation.pool.clone());
+            self.log_sent(&reservation, waited);
+            self.sends += 1;
+            self.set_spent(true);
+            let now = Instant::now();
+            let sending = Sending {
+                endpoint: &id,
+                left: self.deadline.saturating_duration_since(now),
+                priority: self.priority(),
+                last_event,
+                workspace: self.identity.workspace().map(|workspace| &workspace.name),
+            };
+            let deadlines = ResponseDeadlines {
+                deadline: self.deadline,
+                reconsider_at: self.reconsider_at(now),
+            };
+            let should_leave = || self.may_move(&id, self.route.target);
+            match exchange::send(
+                reservation,
+                &self.caller,
+                &self.outgoing,
+                &sending,
+                deadlines,
+                should_leave,
+            )
+            .await
+            {
+                SendOutcome::Response(response) => match self.classify(*response, &id).await {
+                    Verdict::Done(response) => return Ok(*response),
+                    Verdict::Retry => {}
+                    Verdict::Failed(failure) => return Err(failure),
+                },
+                SendOutcome::CallerLeft => {
+                    self.set_spent(false);
+                    return Err(self.failure(Refusal::Left, None));
+                }
+                SendOutcome::Draining => {
+                    self.set_spent(false);
+                    self.log_step(Step::NotRun, &id, "the endpoint accepts no new requests");
+                    self.sends -= 1;
+                }
+                SendOutcome::NotSent(cause) => {
+                    self.set_spent(false);
+                    self.log_step(Step::Broken, &id, &cause);
+                    self.shared.known.failed(&id, self.incarnation, &cause);
+                    if self.sends >= MAX_SENDS {
+                        return Err(self.failure(Refusal::NoEndpoint, None));
+                    }
+                }
+                SendOutcome::Interrupted(cause) => self.interrupted(&id, &cause)?,
+                SendOutcome::Abandoned => {
+                    self.runs += 1;
+                    self.leave(&id, "no response yet");
+                }
+                SendOutcome::TimedOut => {
+                    self.runs += 1;
+                    return Err(self.failure(Refusal::TimedOut, None));
+                }
+            }
+        }
+    }
+
+    /// Waits for the permit of the crash guard, which holds back requests that were at crashed
+    /// endpoints.
+    async fn acquire_permit(&mut self) -> Result<(), Failure> {
+        let digest = self.outgoing.digest;
+        let held = self.permit.take();
+        let barred = match self.shared.guard.enter(&digest, held, self.send_by).await {
+            Ok(permit) => {
+                self.permit = Some(permit);
+                return Ok(());
+            }
+            Err(barred) => barred,
+        };
+        let mut trial = None;
+        if let Barred::Due(number) = barred {
+            trial = ledger::claim(&self.shared, &digest, number).await;
+        }
+        if barred != Barred::Busy {
+            emit(&Event::Barred {
+                request: &self.request_id,
+                digest: &digest.to_string(),
+                tried: trial.is_some(),
+                ends: &self.shared.guard.ends(&digest),
+            });
+        }
+        self.permit = trial;
+        match (&self.permit, barred) {
+            (Some(_), _) => Ok(()),
+            (None, Barred::Busy) => Err(self.failure(Refusal::TimedOut, Some(WAIT_RETRY_AFTER))),
+            (None, Barred::Suspect | Barred::Due(_)) => Err(self.failure(Refusal::Crashes, None)),
+        }
+    }
+
+    /// Records whether the request is, or may be, at an endpoint. Tokens of a request that may
+    /// have run are never refunded.
+    fn set_spent(&mut self, sent: bool) {
+        let spent = sent || self.runs > 0;
+        if let Some(charge) = &mut self.charge {
+            charge.spent = spent;
+        }
+    }
+
+    /// Whether the key of the request may still be served, if it has one.
+    fn key_is_fresh(&self) -> bool {
+        let bound = self.shared.settings.borrow().bounds.revoke;
+        self.runs > 0 || self.identity.workspace().is_none() || self.shared.access.is_fresh(bound)
+    }
+
+    fn is_permitted(&self) -> bool {
+        let permit = self.permit.as_ref();
+        permit.is_some_and(|permit| self.shared.guard.allows(&self.outgoing.digest, permit))
+    }
+
+    /// Clears the request of suspicion, because its endpoint survived it.
+    pub(crate) fn clear_suspicion(&self) {
+        self.shared.guard.clear(&self.outgoing.digest);
+    }
+
+    fn needs<'a>(&'a self, excluded: &'a [EndpointId]) -> RequestNeeds<'a> {
+        let engine = self.catalog.service(&self.service).and_then(|s| s.engine.as_ref());
+        RequestNeeds {
+            service: &self.service,
+            model: self.call.model.as_ref().filter(|_| engine.is_some()),
+            engine,
+            prompt_tokens: self.call.tokens.map_or(0, |(prompt, _)| prompt),
+            first_event_target: self.route.target,
+            deadline: self.send_by,
+            search_start: Instant::now(),
+            excluded,
+            isolated: self.permit.as_ref().is_some_and(|permit| permit.apart),
+        }
+    }
+
+    async fn reserve(&self) -> Result<Reservation, Failure> {
+        let needs = self.needs(&self.excluded);
+        let mut closing = self.shared.closing.subscribe();
+        let reserved = tokio::select! {
+            reserved = tokio::time::timeout_at(
+                self.send_by,
+                choose::reserve(&self.shared, needs),
+            ) => reserved,
+            // A request that is still waiting could not be finished before the process ends.
+            _ = closing.wait_for(|closing| *closing) => {
+                return Err(self.failure(Refusal::Stopping, Some(WAIT_RETRY_AFTER)));
+            }
+        };
+        match reserved {
+            Ok(Ok(reservation)) => Ok(reservation),
+            Ok(Err(ReserveError::NoEndpoint(after))) => {
+                let after = self.shared.store_retry_after().unwrap_or(after);
+                Err(self.failure(Refusal::NoEndpoint, Some(after)))
+            }
+            Ok(Err(ReserveError::LoadTooSlow(after))) => {
+                Err(self.failure(Refusal::ColdTooLong, Some(after)))
+            }
+            Err(_) => Err(self.failure(Refusal::TimedOut, Some(WAIT_RETRY_AFTER))),
+        }
+    }
+
+    /// When a request that may run twice reconsiders its endpoint.
+    fn reconsider_at(&self, now: Instant) -> Option<Instant> {
+        let elsewhere = self.route.kind.repeatable() && self.runs + 1 < self.route.attempts;
+        elsewhere.then(|| self.deadline.min(now + self.route.target * TARGET_MULTIPLE))
+    }
+
+    /// Whether a request without any response leaves its endpoint. It loses its turn there, so
+    /// another endpoint must be expected to send the first event within `within`, and a retry is
+    /// taken from the budget. Without these conditions, a loss of power made many requests leave
+    /// at once, and their callers got 502.
+    pub(crate) fn may_move(&self, id: &EndpointId, within: Duration) -> bool {
+        let mut excluded = self.excluded.clone();
+        excluded.push(id.clone());
+        choose::has_alternative(&self.shared, &self.needs(&excluded), within)
+            && self.shared.try_retry(&self.service, &self.request_id)
+    }
+
+    /// Records that the request leaves its endpoint, which has sent nothing so far, for another
+    /// one.
+    pub(crate) fn leave(&mut self, id: &EndpointId, cause: &str) {
+        self.log_step(Step::Broken, id, cause);
+        if self.call.model.is_none() {
+            self.shared.known.failed(id, self.incarnation, cause);
+        }
+        self.excluded.push(id.clone());
+    }
+
+    /// Priority of the request at the endpoint: that of the workspace, else of the route.
+    /// Endpoints serve more urgent requests first.
+    fn priority(&self) -> u8 {
+        let own = self.identity.workspace().and_then(|workspace| workspace.priority);
+        own.unwrap_or(self.route.priority).min(9)
+    }
+
+    async fn classify(&mut self, mut response: EndpointResponse, id: &EndpointId) -> Verdict {
+        let status = response.head.status;
+        match platform::read_reply(&self.call.id, status, &response.head.headers) {
+            Reply::Ran => {
+                self.shared.known.worked(id, self.incarnation);
+                self.runs += 1;
+                let again = self.route.kind == catalog::CallKind::Safe
+                    && status.is_server_error()
+                    && self.runs < self.route.attempts
+                    && self.shared.try_retry(&self.service, &self.request_id);
+                if !again {
+                    return Verdict::Done(Box::new(response));
+                }
+                self.log_step(Step::Broken, id, status.as_str());
+                self.excluded.push(id.clone());
+                Verdict::Retry
+            }
+            Reply::NotRun => {
+                self.log_step(Step::NotRun, id, status.as_str());
+                response.reservation.clear_suspicion();
+                drop(response);
+                self.not_executed(id).await
+            }
+            Reply::Misdirected => {
+                self.log_step(Step::NotRun, id, status.as_str());
+                let other = platform::instance_of(&response.head.headers).is_some_and(|o| o != *id);
+                response.reservation.clear_suspicion();
+                drop(response);
+                match &self.call.model {
+                    Some(model) if !other => self.shared.known.missing(id, self.incarnation, model),
+                    _ => self.shared.known.failed(
+                        id,
+                        self.incarnation,
+                        "another endpoint has its address",
+                    ),
+                }
+                self.not_executed(id).await
+            }
+            Reply::Foreign => {
+                drop(response);
+                match self.interrupted(id, "the response belongs to another request") {
+                    Ok(()) => Verdict::Retry,
+                    Err(failure) => Verdict::Failed(failure),
+                }
+            }
+        }
+    }
+
+    async fn not_executed(&mut self, id: &EndpointId) -> Verdict {
+        self.set_spent(false);
+        if self.sends >= MAX_SENDS || !self.shared.try_retry(&self.service, &self.request_id) {
+            let after = choose::retry_after(&self.shared, &self.needs(&self.excluded))
+                .unwrap_or(RESEND_DELAY);
+            return Verdict::Failed(self.failure(Refusal::NoEndpoint, Some(after)));
+        }
+        if self.call.model.is_none() || self.sends > 1 {
+            self.excluded.push(id.clone());
+        }
+        tokio::time::sleep(RESEND_DELAY).await;
+        Verdict::Retry
+    }
+
+    /// Records that the request may have run without a response; an error if it may not be
+    /// retried.
+    pub(crate) fn interrupted(&mut self, id: &EndpointId, cause: &str) -> Result<(), Failure> {
+        self.runs += 1;
+        self.log_step(Step::Broken, id, cause);
+        self.shared.known.failed(id, self.incarnation, cause);
+        if let Some(pool) = &self.pool {
+            ended::examine(&self.shared, id, self.incarnation, pool);
+        }
+        self.excluded.push(id.clone());
+        let again = self.route.kind.repeatable()
+            && self.runs < self.route.attempts
+            && self.deadline > Instant::now()
+            && self.shared.try_retry(&self.service, &self.request_id);
+        if again { Ok(()) } else { Err(self.failure(Refusal::Unknown, None)) }
+    }
+
+    /// Builds the failure for a cause. The status 503 and `Retry-After` promise that the request
+    /// has not run, so they are only sent if that is certain.
+    pub(crate) fn failure(&self, cause: Refusal, after: Option<Duration>) -> Failure {
+        let status = match (self.runs, cause) {
+            // Callers do not retry a 400: the request would be refused again.
+            (0, Refusal::Crashes) => StatusCode::BAD_REQUEST,
+            (0, _) => StatusCode::SERVICE_UNAVAILABLE,
+            (_, Refusal::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
+            _ => StatusCode::BAD_GATEWAY,
+        };
+        Failure { status, cause, after: after.filter(|_| self.runs == 0) }
+    }
+
+    fn log_sent(&self, reservation: &Reservation, waited: Duration) {
+        emit(&Event::Step {
+            request: &self.request_id,
+            step: Step::Sent,
+            endpoint: reservation.id.as_str(),
+            sends: self.sends,
+            inflight: reservation.running,
+            age_ms: millis(reservation.age),
+            waited_ms: millis(waited),
+            cold: reservation.waited_for_load,
+            digest: &self.outgoing.digest.to_string(),
+            class: &self.class,
+            cause: "",
+        });
+    }
+
+    pub(crate) fn log_step(&self, step: Step, id: &EndpointId, cause: &str) {
+        emit(&Event::Step {
+            request: &self.request_id,
+            step,
+            endpoint: id.as_str(),
+            sends: self.sends,
+            inflight: 0,
+            age_ms: 0,
+            waited_ms: 0,
+            cold: false,
+            digest: "",
+            class: &self.class,
+            cause,
+        });
+    }
+}
+
+/// What to do after a response of an endpoint.
+enum Verdict {
+    /// Relay the response to the caller.
+    Done(Box<EndpointResponse>),
+    /// Send the request again.
+    Retry,
+    Failed(Failure),
+}
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! Serves callers from endpoints that it calls directly.
+//! The router: receives requests of callers and sends them directly to endpoints.
 
 mod access;
 mod borrow;
@@ -10,21 +10,21 @@
 mod endpoint;
 mod exchange;
 mod feed;
-mod flight;
 mod guard;
+mod in_flight;
 mod known;
 mod ledger;
 mod list;
 mod missing;
 mod peer;
-mod place;
 mod pool;
-mod prepare;
+mod prefetch;
 mod probe;
 mod quotas;
 mod ready;
 mod relay;
 mod request;
+mod reservation;
 mod roster;
 mod run;
 mod runs;
@@ -35,4 +35,4 @@
 mod snapshot;
 
 pub use run::run;
-pub use settings::{Bounds, QuotaSettings, RepeatSettings, Settings};
+pub use settings::{Bounds, QuotaSettings, RetrySettings, Settings};
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -1,4 +1,5 @@
-//! Holds each workspace to its limit: a share of it here, and tokens of other routers where that is not enough.
+//! Enforces the quotas of workspaces: this router has a share of each, and borrows tokens of other
+//! routers where that is not enough.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,64 +17,66 @@
 
 use crate::shared::Shared;
 
-/// After nobody had tokens for a workspace, others are not asked for this time, doubled each time.
-const PAUSE: Duration = Duration::from_millis(250);
-/// The longest such pause.
-const LONGEST: Duration = Duration::from_secs(1);
-/// A router that did not answer is not asked for this time.
-const SILENT: Duration = Duration::from_secs(2);
-/// Callers over the limit come back no sooner than this.
-const SOONEST_BACK: Duration = Duration::from_millis(300);
-/// By up to this part of its time each comes back later, so that they don't all come at once.
-const SPREAD: f64 = 0.3;
+/// Pause before tokens of a workspace are borrowed again after no router had any; doubled each
+/// time.
+const MIN_BORROW_PAUSE: Duration = Duration::from_millis(250);
+/// The longest pause between attempts to borrow.
+const MAX_BORROW_PAUSE: Duration = Duration::from_secs(1);
+/// For how long a router that did not answer is not asked for tokens.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(2);
+/// Minimum `Retry-After` for callers over the limit.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Random fraction of the `Retry-After` time that is added to it, so that callers do not all
+/// return at once.
+const RETRY_AFTER_JITTER: f64 = 0.3;
 
-/// What this router has of the limit of one workspace.
+/// The share of this router in the quota of one workspace.
 #[derive(Debug)]
-struct Pocket {
+struct WorkspaceQuota {
     bucket: Bucket,
-    /// Since when the share is held that the bucket is of.
+    /// When this router got the share that the bucket belongs to.
     since: Moment,
     meter: Meter,
     refused: u64,
-    /// When a request of this router's own callers came last.
-    used: Option<Moment>,
-    /// Until when others are not asked.
-    dry: Option<Moment>,
-    pause: Duration,
+    /// When the last request of one of this router's own callers arrived.
+    last_request: Option<Moment>,
+    /// Until when no tokens are borrowed, because the other routers had none.
+    no_borrowing_until: Option<Moment>,
+    borrow_pause: Duration,
 }
 
-impl Pocket {
+impl WorkspaceQuota {
     fn new(since: Moment) -> Self {
         Self {
             bucket: Bucket::new(since),
             since,
             meter: Meter::default(),
             refused: 0,
-            used: None,
-            dry: None,
-            pause: PAUSE,
+            last_request: None,
+            no_borrowing_until: None,
+            borrow_pause: MIN_BORROW_PAUSE,
         }
     }
 }
 
-/// The limits of all workspaces, as far as this router has a share in them.
+/// The shares of this router in the quotas of all workspaces.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     roster: Mutex<Roster>,
-    pockets: Mutex<HashMap<WorkspaceName, Pocket>>,
+    shares: Mutex<HashMap<WorkspaceName, WorkspaceQuota>>,
     /// Routers that did not answer, and until when they are not asked.
-    silent: Mutex<HashMap<SocketAddr, Moment>>,
-    /// Whether the roster has been read.
-    started: watch::Sender<bool>,
+    unresponsive: Mutex<HashMap<SocketAddr, Moment>>,
+    /// Whether the roster has been read once.
+    roster_read: watch::Sender<bool>,
 }
 
 impl Quotas {
     pub(crate) fn new(addr: SocketAddr, domain: Domain) -> Self {
         Self {
             roster: Mutex::new(Roster::new(addr, domain)),
-            pockets: Mutex::default(),
-            silent: Mutex::default(),
-            started: watch::Sender::new(false),
+            shares: Mutex::default(),
+            unresponsive: Mutex::default(),
+            roster_read: watch::Sender::new(false),
         }
     }
 
@@ -81,44 +84,46 @@
         self.roster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pockets(&self) -> MutexGuard<'_, HashMap<WorkspaceName, Pocket>> {
-        self.pockets.lock().unwrap_or_else(PoisonError::into_inner)
+    fn shares(&self) -> MutexGuard<'_, HashMap<WorkspaceName, WorkspaceQuota>> {
+        self.shares.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes records of the roster that a read which was sent then brought.
+    /// Applies records of the roster from a read that was sent at `sent`; `complete` says whether
+    /// the read contains all records.
     pub(crate) fn apply_roster_read(
         &self,
-        news: Vec<(SocketAddr, Option<Record>)>,
-        whole: bool,
+        updates: Vec<(SocketAddr, Option<Record>)>,
+        complete: bool,
         sent: Moment,
     ) {
         let now = Moment::now();
         let mut roster = self.roster();
         let count = |roster: &Roster| roster.share(now).map_or(0, |share| share.count);
         let before = count(&roster);
-        roster.take(news, whole, sent, now);
-        self.started.send_replace(true);
+        roster.take(updates, complete, sent, now);
+        self.roster_read.send_replace(true);
         let shares = count(&roster);
         if shares != before {
             emit(&Event::Shared { shares, before });
         }
     }
 
-    /// Waits until the roster has been read for the first time, which takes as long as the first read of the configuration.
-    pub(crate) async fn first_read(&self, until: Instant) {
-        if !*self.started.borrow() {
-            let mut started = self.started.subscribe();
-            let read = started.wait_for(|started| *started);
-            let _ = tokio::time::timeout_at(until, read).await;
+    /// Waits until the roster has been read once, which takes as long as the first read of the
+    /// configuration.
+    pub(crate) async fn wait_for_roster(&self, deadline: Instant) {
+        if !*self.roster_read.borrow() {
+            let mut roster_read = self.roster_read.subscribe();
+            let read = roster_read.wait_for(|read| *read);
+            let _ = tokio::time::timeout_at(deadline, read).await;
         }
     }
 
-    /// What is to be written to the roster.
+    /// The next record of the roster that this router has to write.
     pub(crate) fn next_roster_write(&self) -> Option<Write> {
         self.roster().next_write(Moment::now())
     }
 
-    /// Notes that it is written.
+    /// Records that a write of the roster has succeeded.
     pub(crate) fn confirm_roster_write(&self, write: &Write) {
         self.roster().wrote(write, Moment::now());
     }
@@ -128,149 +133,163 @@
         self.roster().share(now)
     }
 
-    /// Does something with the tokens of a workspace here, if this router has a share.
-    fn with<T>(
+    /// Calls `f` with the quota of a workspace and the number of shares, if this router has a
+    /// share.
+    fn with_quota<T>(
         &self,
         workspace: &WorkspaceName,
-        f: impl FnOnce(&mut Pocket, u32) -> T,
+        f: impl FnOnce(&mut WorkspaceQuota, u32) -> T,
     ) -> Option<T> {
         let Share { count, since } = self.share(Moment::now())?;
-        let mut pockets = self.pockets();
-        if let Some(pocket) = pockets.get_mut(workspace).filter(|pocket| pocket.since == since) {
-            return Some(f(pocket, count));
+        let mut shares = self.shares();
+        if let Some(quota) = shares.get_mut(workspace).filter(|quota| quota.since == since) {
+            return Some(f(quota, count));
         }
-        pockets.insert(workspace.clone(), Pocket::new(since));
-        pockets.get_mut(workspace).map(|pocket| f(pocket, count))
+        shares.insert(workspace.clone(), WorkspaceQuota::new(since));
+        shares.get_mut(workspace).map(|quota| f(quota, count))
     }
 
-    pub(crate) fn take(
+    /// Takes tokens for a request, `max_tokens` at most; returns them and the start of the share.
+    pub(crate) fn take_tokens(
         &self,
         workspace: &WorkspaceName,
         terms: Terms,
-        most: f64,
+        max_tokens: f64,
     ) -> Option<(Taken, Moment)> {
         let now = Moment::now();
-        self.with(workspace, |pocket, count| {
-            pocket.used = Some(now);
-            (pocket.bucket.take(terms.share(count), most, now), pocket.since)
+        self.with_quota(workspace, |quota, count| {
+            quota.last_request = Some(now);
+            (quota.bucket.take(terms.share(count), max_tokens, now), quota.since)
         })
     }
 
-    /// Takes what another router may have of so many tokens.
-    pub(crate) fn lend(&self, workspace: &WorkspaceName, terms: Terms, most: f64) -> Option<f64> {
+    /// Takes the tokens that may be lent to another router, `max_tokens` at most.
+    pub(crate) fn lend(
+        &self,
+        workspace: &WorkspaceName,
+        terms: Terms,
+        max_tokens: f64,
+    ) -> Option<f64> {
         let now = Moment::now();
-        self.with(workspace, |pocket, count| {
+        self.with_quota(workspace, |quota, count| {
             let share = terms.share(count);
-            let level = pocket.bucket.level(share, now);
-            let idle = pocket.used.map_or(Duration::MAX, |used| now.since(used));
-            pocket.bucket.take(share, most.min(lendable(level, idle)), now).tokens
+            let level = quota.bucket.level(share, now);
+            let idle = quota.last_request.map_or(Duration::MAX, |at| now.since(at));
+            quota.bucket.take(share, max_tokens.min(lendable(level, idle)), now).tokens
         })
     }
 
-    /// Adds what other routers lent beyond what was used.
-    pub(crate) fn add(&self, workspace: &WorkspaceName, terms: Terms, tokens: f64) {
-        self.with(workspace, |pocket, count| {
-            pocket.bucket.add(terms.share(count), tokens, Moment::now());
+    /// Adds borrowed tokens that were not used.
+    pub(crate) fn add_borrowed(&self, workspace: &WorkspaceName, terms: Terms, tokens: f64) {
+        self.with_quota(workspace, |quota, count| {
+            quota.bucket.add(terms.share(count), tokens, Moment::now());
         });
     }
 
-    /// Gives back what was taken from the share that this router has had since a moment.
-    pub(crate) fn put_back(
+    /// Refunds tokens that were taken from the share that this router got at `since`.
+    pub(crate) fn refund(
         &self,
         workspace: &WorkspaceName,
         terms: Terms,
         taken: Taken,
         since: Moment,
     ) {
-        self.with(workspace, |pocket, count| {
-            if pocket.since == since {
-                pocket.bucket.put_back(terms.share(count), taken, Moment::now());
+        self.with_quota(workspace, |quota, count| {
+            if quota.since == since {
+                quota.bucket.put_back(terms.share(count), taken, Moment::now());
             }
         });
     }
 
-    /// Counts a request for operators.
-    pub(crate) fn count(&self, workspace: &WorkspaceName, cost: f64, let_in: bool) {
-        self.with(workspace, |pocket, _| {
-            if let_in {
-                pocket.meter.count(cost, Moment::now());
+    /// Counts a request in the report for operators.
+    pub(crate) fn record_request(&self, workspace: &WorkspaceName, cost: f64, admitted: bool) {
+        self.with_quota(workspace, |quota, _| {
+            if admitted {
+                quota.meter.count(cost, Moment::now());
             } else {
-                pocket.refused += 1;
+                quota.refused += 1;
             }
         });
     }
 
-    fn silent(&self) -> MutexGuard<'_, HashMap<SocketAddr, Moment>> {
-        self.silent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unresponsive(&self) -> MutexGuard<'_, HashMap<SocketAddr, Moment>> {
+        self.unresponsive.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Routers that may be asked for tokens.
-    pub(crate) fn lenders(&self) -> Vec<SocketAddr> {
-        let (now, silent) = (Moment::now(), self.silent());
-        let answers = |addr: &SocketAddr| silent.get(addr).is_none_or(|until| *until <= now);
+    /// Other routers that may be asked for tokens now.
+    pub(crate) fn available_lenders(&self) -> Vec<SocketAddr> {
+        let (now, unresponsive) = (Moment::now(), self.unresponsive());
+        let answers = |addr: &SocketAddr| unresponsive.get(addr).is_none_or(|until| *until <= now);
         self.roster().others().map(|(addr, _)| addr).filter(answers).collect()
     }
 
-    pub(crate) fn note_silence(&self, router: SocketAddr, silent: bool) {
-        if silent {
-            self.silent().insert(router, Moment::now() + SILENT);
+    /// Records whether a request to another router timed out.
+    pub(crate) fn record_answer(&self, router: SocketAddr, timed_out: bool) {
+        if timed_out {
+            self.unresponsive().insert(router, Moment::now() + UNRESPONSIVE_PAUSE);
         } else {
-            self.silent().remove(&router);
+            self.unresponsive().remove(&router);
         }
     }
 
-    /// Whether others are asked for tokens of a workspace now.
-    pub(crate) fn may_ask(&self, workspace: &WorkspaceName) -> bool {
+    /// Whether tokens of a workspace may be borrowed now.
+    pub(crate) fn may_borrow(&self, workspace: &WorkspaceName) -> bool {
         let now = Moment::now();
-        let pockets = self.pockets();
-        pockets.get(workspace).and_then(|pocket| pocket.dry).is_none_or(|dry| dry <= now)
+        let shares = self.shares();
+        shares
+            .get(workspace)
+            .and_then(|quota| quota.no_borrowing_until)
+            .is_none_or(|until| until <= now)
     }
 
-    /// Notes whether nobody seemed to have any.
-    pub(crate) fn asked(&self, workspace: &WorkspaceName, dry: bool) {
-        self.with(workspace, |pocket, _| {
-            if dry {
-                pocket.dry = Some(Moment::now() + pocket.pause);
-                pocket.pause = (pocket.pause * 2).min(LONGEST);
+    /// Records an attempt to borrow tokens; `exhausted` says whether the other routers probably
+    /// have none left.
+    pub(crate) fn record_borrowing(&self, workspace: &WorkspaceName, exhausted: bool) {
+        self.with_quota(workspace, |quota, _| {
+            if exhausted {
+                quota.no_borrowing_until = Some(Moment::now() + quota.borrow_pause);
+                quota.borrow_pause = (quota.borrow_pause * 2).min(MAX_BORROW_PAUSE);
             } else {
-                (pocket.dry, pocket.pause) = (None, PAUSE);
+                (quota.no_borrowing_until, quota.borrow_pause) = (None, MIN_BORROW_PAUSE);
             }
         });
     }
 
-    /// When this router has so many tokens of its own again.
-    pub(crate) fn back(
+    /// When this router has `cost` tokens of its own again, with a random addition.
+    pub(crate) fn retry_after(
         &self,
         workspace: &WorkspaceName,
         terms: Terms,
         cost: f64,
         window: Duration,
     ) -> Duration {
-        let own = self.with(workspace, |pocket, count| {
+        let own = self.with_quota(workspace, |quota, count| {
             let share = terms.share(count);
-            pocket.bucket.wait(share, cost.min(share.depth), Moment::now())
+            quota.bucket.wait(share, cost.min(share.depth), Moment::now())
         });
-        let back = own.unwrap_or_else(|| self.roster().wait(Moment::now()));
-        back.clamp(SOONEST_BACK, window).mul_f64(1.0 + SPREAD * rand::random::<f64>())
+        let delay = own.unwrap_or_else(|| self.roster().wait(Moment::now()));
+        delay
+            .clamp(MIN_RETRY_AFTER, window)
+            .mul_f64(1.0 + RETRY_AFTER_JITTER * rand::random::<f64>())
     }
 }
 
-/// Tells an operator of all workspaces.
+/// The report on all workspaces for operators.
 pub(crate) fn report(shared: &Shared) -> Option<WorkspacesReport> {
     let catalog = shared.current()?;
     let quotas = &shared.quotas;
     let now = Moment::now();
-    let bounds = shared.bounds();
+    let bounds = shared.quota_bounds();
     let workspaces = catalog.workspaces.iter().flat_map(Workspaces::iter);
     let workspaces = workspaces.map(|workspace| {
-        let used = workspace.limit.and_then(|limit| {
+        let usage = workspace.limit.and_then(|limit| {
             let terms = Terms::new(limit, bounds);
-            quotas.with(&workspace.name, |pocket, count| {
-                let left = pocket.bucket.level(terms.share(count), now);
-                (left, pocket.meter.rate(now), pocket.refused)
+            quotas.with_quota(&workspace.name, |quota, count| {
+                let left = quota.bucket.level(terms.share(count), now);
+                (left, quota.meter.rate(now), quota.refused)
             })
         });
-        let (left, rate, refused) = used.unwrap_or_default();
+        let (left, rate, refused) = usage.unwrap_or_default();
         let keys = workspace.keys.iter().map(ToString::to_string).collect();
         let (name, limit) = (workspace.name.clone(), workspace.limit);
         WorkspaceReport { name, keys, limit, left, rate, refused }
@@ -278,9 +297,9 @@
     Some(WorkspacesReport {
         version: catalog.version,
         age_ms: shared.access.age().map(millis),
-        serves: shared.access.holds(shared.settings.borrow().bounds.revoke),
+        serves: shared.access.is_fresh(shared.settings.borrow().bounds.revoke),
         shares: quotas.share(now).map_or(0, |share| share.count),
         workspaces: workspaces.collect(),
-        denied: shared.access.denied(),
+        denied: shared.access.denied_keys(),
     })
 }
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether this router takes callers.
+//! Tells the load balancer whether this router accepts callers.
 
 use std::sync::Arc;
 
@@ -9,23 +9,23 @@
 
 use crate::shared::Shared;
 
-/// Whether this router takes callers: it has a configuration and a list of endpoints, can serve on a route at least, and is not
-/// ending.
+/// Whether this router accepts callers: it has a configuration and a list of endpoints, can serve
+/// at least one route, and is not ending.
 pub(crate) fn is_ready(shared: &Shared) -> bool {
     shared.shutdown.phase() == Phase::Run
-        && shared.current().is_some_and(|catalog| serves(shared, &catalog))
+        && shared.current().is_some_and(|catalog| can_serve(shared, &catalog))
         && shared.known.lock().listed
 }
 
-/// Whether there is a route whose requests can be let in.
-fn serves(shared: &Shared, catalog: &Catalog) -> bool {
+/// Whether there is a route whose requests can be authenticated.
+fn can_serve(shared: &Shared, catalog: &Catalog) -> bool {
     let bound = shared.settings.borrow().bounds.revoke;
     catalog.workspaces.is_none()
-        || shared.access.holds(bound)
+        || shared.access.is_fresh(bound)
         || catalog.routes().any(|route| route.open)
 }
 
-/// Answers the balancer.
+/// Answers a check of the load balancer.
 pub(crate) fn answer(shared: &Arc<Shared>, path: &str) -> Response<Body> {
     if path != platform::READY_PATH {
         return web::text(StatusCode::NOT_FOUND, "no such path\n");
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an answer on to the caller.
+//! Relays the response of an endpoint to the caller.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,284 +13,306 @@
 use units::EndpointId;
 use web::{Body, Writer};
 
-use crate::exchange::Answer;
-use crate::flight::{Failure, Flight};
+use crate::exchange::EndpointResponse;
+use crate::in_flight::{Failure, InFlightRequest};
 
-/// The largest answer that is read whole before it is passed on, so that one that ends early can be sent for again.
-const WHOLE: usize = 8 << 20;
-/// A stream that can go on elsewhere does so when nothing came for this part of the time that its caller waits.
-const STALL: u32 = 5;
-/// The largest event of a stream.
-const EVENT: usize = 1 << 20;
+/// The largest response that is read whole before it is relayed, so that the request can be
+/// retried if the response breaks off.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+/// A stream that can be resumed at another endpoint has stalled when nothing came for the event
+/// timeout of its route divided by this.
+const STALL_DIVISOR: u32 = 5;
+/// The largest event of a stream; more bytes without an event boundary are relayed as they are.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// When a request came and how its answer went, for the log.
+/// What is logged of a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Times {
-    pub(crate) name: String,
+pub(crate) struct RequestLog {
+    pub(crate) request_id: String,
     pub(crate) class: String,
     pub(crate) arrived: Instant,
-    /// Until when the caller waits.
-    pub(crate) until: Instant,
+    /// When the caller stops waiting.
+    pub(crate) deadline: Instant,
 }
 
-impl Times {
-    pub(crate) fn answered(&self, status: u16, pace: &Pace, whole: bool) {
+impl RequestLog {
+    pub(crate) fn log_response(&self, status: u16, timing: &ResponseTiming, whole: bool) {
         let since = |at: Instant| millis(at - self.arrived);
-        let first = pace.first.unwrap_or_else(Instant::now);
+        let first = timing.first.unwrap_or_else(Instant::now);
         emit(&Event::Answered {
-            request: &self.name,
+            request: &self.request_id,
             class: &self.class,
             status,
             first_ms: since(first),
             total_ms: since(Instant::now()),
-            gap_ms: millis(pace.gap),
+            gap_ms: millis(timing.longest_gap),
             whole,
         });
     }
 
-    pub(crate) fn left(&self) {
+    pub(crate) fn log_caller_left(&self) {
         let now = Instant::now();
         emit(&Event::Left {
-            request: &self.name,
+            request: &self.request_id,
             held_ms: millis(now - self.arrived),
-            left_ms: millis(self.until.saturating_duration_since(now)),
+            left_ms: millis(self.deadline.saturating_duration_since(now)),
         });
     }
 }
 
-/// When pieces of an answer came.
+/// When chunks of a response arrived.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pace {
+pub(crate) struct ResponseTiming {
     pub(crate) first: Option<Instant>,
     last: Option<Instant>,
-    gap: Duration,
+    longest_gap: Duration,
 }
 
-impl Pace {
-    pub(crate) fn piece(&mut self) {
+impl ResponseTiming {
+    pub(crate) fn record_chunk(&mut self) {
         let now = Instant::now();
         self.first.get_or_insert(now);
         if let Some(last) = self.last.replace(now) {
-            self.gap = self.gap.max(now - last);
+            self.longest_gap = self.longest_gap.max(now - last);
         }
     }
 }
 
-/// Reads a plain answer whole; one that ends early is sent for again if that is allowed.
-pub(crate) async fn plain(
-    flight: &mut Flight,
-    mut answer: Answer,
+/// Reads a response that is no stream, then relays it. If it breaks off, the request is retried
+/// where that is allowed.
+pub(crate) async fn relay_buffered(
+    request: &mut InFlightRequest,
+    mut response: EndpointResponse,
 ) -> Result<Response<Body>, Failure> {
     loop {
-        let collected = tokio::time::timeout_at(flight.due, collect(&mut answer.body)).await;
+        let collected =
+            tokio::time::timeout_at(request.deadline, collect(&mut response.body)).await;
         let Ok(collected) = collected else {
-            return Err(flight.failed(Refusal::TimedOut, None));
+            return Err(request.failure(Refusal::TimedOut, None));
         };
         match collected {
             Ok(bytes) => {
-                let mut headers = platform::passed_headers(&answer.head.headers);
+                let mut headers = platform::passed_headers(&response.head.headers);
                 headers.remove(header::CONTENT_LENGTH);
-                let mut response = Response::new(web::full(bytes));
-                *response.status_mut() = answer.head.status;
-                *response.headers_mut() = headers;
-                answer.keep();
-                flight.outlived();
-                return Ok(response);
+                let mut relayed = Response::new(web::full(bytes));
+                *relayed.status_mut() = response.head.status;
+                *relayed.headers_mut() = headers;
+                response.release_connection();
+                request.clear_suspicion();
+                return Ok(relayed);
             }
             Err(cause) => {
-                // The run was counted when its answer began.
-                flight.runs -= 1;
-                let id = answer.place.id.clone();
-                drop(answer);
-                flight.broken(&id, &cause)?;
-                answer = flight.answer(None).await?;
+                // This run was already counted when its response began.
+                request.runs -= 1;
+                let id = response.reservation.id.clone();
+                drop(response);
+                request.interrupted(&id, &cause)?;
+                response = request.fetch_response(None).await?;
             }
         }
     }
 }
 
 async fn collect(body: &mut Incoming) -> Result<Bytes, String> {
-    let mut whole = BytesMut::new();
+    let mut complete = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| error.to_string())?;
         if let Ok(data) = frame.into_data() {
-            whole.extend_from_slice(&data);
+            complete.extend_from_slice(&data);
         }
-        if whole.len() > WHOLE {
-            return Err("the answer is too large".to_owned());
+        if complete.len() > MAX_BUFFERED_BYTES {
+            return Err("the relayed is too large".to_owned());
         }
     }
-    Ok(whole.freeze())
+    Ok(complete.freeze())
 }
 
-/// Starts to pass a stream on.
-pub(crate) fn stream(flight: Flight, answer: Answer, times: Times) -> Response<Body> {
+/// Starts to relay a stream.
+pub(crate) fn relay_stream(
+    request: InFlightRequest,
+    response: EndpointResponse,
+    request_log: RequestLog,
+) -> Response<Body> {
     let (writer, body) = web::channel();
-    let mut headers = platform::passed_headers(&answer.head.headers);
-    if flight.route.kind.repeatable() {
-        // What is joined from several runs is longer than the first of them says.
+    let mut headers = platform::passed_headers(&response.head.headers);
+    if request.route.kind.repeatable() {
+        // A response joined from several runs may be longer than the first run states.
         headers.remove(header::CONTENT_LENGTH);
     }
-    let mut response = Response::new(body);
-    *response.status_mut() = answer.head.status;
-    *response.headers_mut() = headers;
-    tokio::spawn(pass(flight, answer, writer, times));
-    response
+    let mut relayed = Response::new(body);
+    *relayed.status_mut() = response.head.status;
+    *relayed.headers_mut() = headers;
+    tokio::spawn(forward_stream(request, response, writer, request_log));
+    relayed
 }
 
-/// What the next read of an answer gave.
-enum Heard {
+/// What the next read of a response gave.
+enum StreamRead {
     Data(Bytes),
     End,
-    Broken(String),
-    /// Nothing for the time that was named.
-    Silence,
-    /// The caller has left.
-    Left,
-    /// The time of the request is over.
-    Late,
+    Interrupted(String),
+    /// Nothing arrived within the time limit.
+    Stalled,
+    /// The caller has disconnected.
+    CallerLeft,
+    /// The deadline of the request has passed.
+    DeadlinePassed,
 }
 
-/// Reads on until `due`, and for `patience` at most where that is named.
-async fn hear(
-    answer: &mut Answer,
+/// Reads the next part of a response, until `deadline` and for `time_limit` at most if there is
+/// one.
+async fn read_stream(
+    response: &mut EndpointResponse,
     writer: &Writer,
-    patience: Option<Duration>,
-    due: Instant,
-) -> Heard {
-    let silence = tokio::time::sleep(patience.unwrap_or(Duration::MAX));
+    time_limit: Option<Duration>,
+    deadline: Instant,
+) -> StreamRead {
+    let stalled = tokio::time::sleep(time_limit.unwrap_or(Duration::MAX));
     tokio::select! {
-        frame = answer.body.frame() => match frame {
-            Some(Ok(frame)) => Heard::Data(frame.into_data().unwrap_or_default()),
-            Some(Err(error)) => Heard::Broken(error.to_string()),
-            None => Heard::End,
+        frame = response.body.frame() => match frame {
+            Some(Ok(frame)) => StreamRead::Data(frame.into_data().unwrap_or_default()),
+            Some(Err(error)) => StreamRead::Interrupted(error.to_string()),
+            None => StreamRead::End,
         },
-        () = writer.closed() => Heard::Left,
-        () = tokio::time::sleep_until(due) => Heard::Late,
-        () = silence, if patience.is_some() => Heard::Silence,
+        () = writer.closed() => StreamRead::CallerLeft,
+        () = tokio::time::sleep_until(deadline) => StreamRead::DeadlinePassed,
+        () = stalled, if time_limit.is_some() => StreamRead::Stalled,
     }
 }
 
-/// Why a stream goes on at another endpoint.
+/// Why a stream is resumed at another endpoint.
 #[derive(Debug)]
-enum Loss {
-    /// It stands still, and a repeat has been taken from the budget.
-    Still,
-    Broken(String),
+enum StreamFailure {
+    /// Nothing arrives, and a retry has been taken from the budget.
+    Stalled,
+    Interrupted(String),
 }
 
-impl fmt::Display for Loss {
+impl fmt::Display for StreamFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Still => f.write_str("it stands still"),
-            Self::Broken(cause) => f.write_str(cause),
+            Self::Stalled => f.write_str("the stream stalled"),
+            Self::Interrupted(cause) => f.write_str(cause),
         }
     }
 }
 
-async fn pass(mut flight: Flight, mut answer: Answer, writer: Writer, times: Times) {
-    let status = answer.head.status.as_u16();
-    let resumable = flight.route.kind.repeatable();
-    let mut events = Events { last: flight.call.last_event, ..Events::default() };
-    let mut pace = Pace::default();
+async fn forward_stream(
+    mut request: InFlightRequest,
+    mut response: EndpointResponse,
+    writer: Writer,
+    request_log: RequestLog,
+) {
+    let status = response.head.status.as_u16();
+    let resumable = request.route.kind.repeatable();
+    let mut events = EventSplitter { last_id: request.call.last_event, ..EventSplitter::default() };
+    let mut timing = ResponseTiming::default();
     let cause = loop {
-        let elsewhere = resumable && flight.runs < flight.route.attempts;
-        let patience = elsewhere.then(|| flight.route.patience / STALL);
-        let loss = match hear(&mut answer, &writer, patience, flight.due).await {
-            Heard::Left => return times.left(),
-            Heard::Late => break "the time of the request is over".to_owned(),
-            Heard::Data(data) => {
-                answer.place.pool.signs().alive(Instant::now());
-                let ready = if resumable { events.take(data) } else { data };
+        let elsewhere = resumable && request.runs < request.route.attempts;
+        let time_limit = elsewhere.then(|| request.route.patience / STALL_DIVISOR);
+        let failure = match read_stream(&mut response, &writer, time_limit, request.deadline).await
+        {
+            StreamRead::CallerLeft => return request_log.log_caller_left(),
+            StreamRead::DeadlinePassed => {
+                break "the deadline of the request has passed".to_owned();
+            }
+            StreamRead::Data(data) => {
+                response.reservation.pool.signs().alive(Instant::now());
+                let ready = if resumable { events.push(data) } else { data };
                 if ready.is_empty() {
                     continue;
                 }
-                pace.piece();
+                timing.record_chunk();
                 if writer.send(ready).await.is_err() {
-                    return times.left();
+                    return request_log.log_caller_left();
                 }
                 continue;
             }
-            Heard::End => {
-                // What stands behind the last whole event belongs to the answer all the same.
-                let rest = events.rest.split().freeze();
+            StreamRead::End => {
+                // What follows the last complete event is part of the response too.
+                let rest = events.pending.split().freeze();
                 if !rest.is_empty() {
                     let _ = writer.send(rest).await;
                 }
                 let _ = writer.finish().await;
-                times.answered(status, &pace, true);
-                flight.shared.known.streamed(pace.gap > flight.route.pause);
-                flight.outlived();
-                return answer.keep();
+                request_log.log_response(status, &timing, true);
+                request.shared.known.streamed(timing.longest_gap > request.route.pause);
+                request.clear_suspicion();
+                return response.release_connection();
             }
-            // A long prompt of another request silences it too: it is left only for an endpoint that goes on before
-            // the caller leaves, or the stream would be lost while its endpoint is at work on it.
-            Heard::Silence if flight.may_leave(&answer.place.id, flight.route.patience / 2) => {
-                Loss::Still
+            // A long prompt of another request stalls the stream as well. The stream is only moved
+            // to an endpoint that can resume it before the caller leaves; otherwise it would be
+            // lost although its endpoint is still working on it.
+            StreamRead::Stalled
+                if request.may_move(&response.reservation.id, request.route.patience / 2) =>
+            {
+                StreamFailure::Stalled
             }
-            Heard::Silence => continue,
-            Heard::Broken(cause) => Loss::Broken(cause),
+            StreamRead::Stalled => continue,
+            StreamRead::Interrupted(cause) => StreamFailure::Interrupted(cause),
         };
-        let id = answer.place.id.clone();
-        drop(answer);
-        events.rest.clear();
+        let id = response.reservation.id.clone();
+        drop(response);
+        events.pending.clear();
         let resumed = tokio::select! {
-            resumed = resume(&mut flight, &id, &loss, events.last) => resumed,
-            () = writer.closed() => return times.left(),
+            resumed = resume_stream(&mut request, &id, &failure, events.last_id) => resumed,
+            () = writer.closed() => return request_log.log_caller_left(),
         };
         match resumed {
-            Some(next) => answer = next,
-            None => break loss.to_string(),
+            Some(next) => response = next,
+            None => break failure.to_string(),
         }
     };
-    times.answered(status, &pace, false);
+    request_log.log_response(status, &timing, false);
     writer.cut(std::io::Error::other(cause)).await;
 }
 
-/// Goes on with a broken stream at another endpoint, if that is allowed.
-async fn resume(
-    flight: &mut Flight,
+/// Resumes an interrupted stream at another endpoint, if that is allowed.
+async fn resume_stream(
+    request: &mut InFlightRequest,
     id: &EndpointId,
-    loss: &Loss,
-    last: Option<u64>,
-) -> Option<Answer> {
-    // The run was counted when its answer began.
-    match loss {
-        Loss::Still => flight.leave(id, &loss.to_string()),
-        Loss::Broken(cause) => {
-            flight.runs = flight.runs.saturating_sub(1);
-            flight.broken(id, cause).ok()?;
+    failure: &StreamFailure,
+    last_event: Option<u64>,
+) -> Option<EndpointResponse> {
+    // This run was already counted when its response began.
+    match failure {
+        StreamFailure::Stalled => request.leave(id, &failure.to_string()),
+        StreamFailure::Interrupted(cause) => {
+            request.runs = request.runs.saturating_sub(1);
+            request.interrupted(id, cause).ok()?;
         }
     }
-    flight.start = flight.due.min(Instant::now() + flight.route.patience / 2);
-    let next = flight.answer(last).await.ok()?;
-    flight.step(Step::Resumed, &next.place.id, "");
+    request.send_by = request.deadline.min(Instant::now() + request.route.patience / 2);
+    let next = request.fetch_response(last_event).await.ok()?;
+    request.log_step(Step::Resumed, &next.reservation.id, "");
     next.head.status.is_success().then_some(next)
 }
 
-/// Splits a stream after whole events.
+/// Splits a stream at event boundaries.
 #[derive(Debug, Default)]
-struct Events {
-    rest: BytesMut,
-    last: Option<u64>,
+struct EventSplitter {
+    /// Bytes of the last event, which is not complete yet.
+    pending: BytesMut,
+    /// Id of the last complete event that has one.
+    last_id: Option<u64>,
 }
 
-impl Events {
-    /// Adds bytes and takes out the events that are whole now.
-    fn take(&mut self, data: Bytes) -> Bytes {
-        self.rest.extend_from_slice(&data);
-        let Some(end) = self.rest.windows(2).rposition(|pair| pair == b"\n\n") else {
-            if self.rest.len() > EVENT {
-                return self.rest.split().freeze();
+impl EventSplitter {
+    /// Adds bytes and removes the events that are complete now.
+    fn push(&mut self, data: Bytes) -> Bytes {
+        self.pending.extend_from_slice(&data);
+        let Some(boundary) = self.pending.windows(2).rposition(|pair| pair == b"\n\n") else {
+            if self.pending.len() > MAX_EVENT_BYTES {
+                return self.pending.split().freeze();
             }
             return Bytes::new();
         };
-        let whole = self.rest.copy_to_bytes(end + 2);
-        let mut ids = whole.split(|byte| *byte == b'\n').filter_map(platform::event_id);
+        let complete = self.pending.copy_to_bytes(boundary + 2);
+        let mut ids = complete.split(|byte| *byte == b'\n').filter_map(platform::event_id);
         if let Some(last) = ids.next_back() {
-            self.last = Some(last);
+            self.last_id = Some(last);
         }
-        whole
+        complete
     }
 }
 
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -1,4 +1,4 @@
-//! Takes one request of a caller and answers it.
+//! Handles one request of a caller.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,222 +17,250 @@
 use web::{Body, ReadError};
 
 use crate::access::{self, Identity};
-use crate::caller::Caller;
+use crate::caller::CallerConnection;
 use crate::charge;
-use crate::exchange::Outgoing;
-use crate::flight::{Failure, Flight};
-use crate::relay::{self, Pace, Times};
+use crate::exchange::OutgoingRequest;
+use crate::in_flight::{Failure, InFlightRequest};
+use crate::relay::{self, RequestLog, ResponseTiming};
 use crate::shared::Shared;
 
-/// A router that has just started holds its first requests for this part of their time while it reads the store for the
-/// first time, which takes some 20 ms, unless the store does not answer: after a loss of power 45 to 111 requests of
-/// a day were refused in that moment, on four days of five.
-const FIRST_READ: u32 = 3;
-/// The longest that it holds them.
-const FIRST_HOLD: Duration = Duration::from_millis(500);
-/// When callers may come back to a router that knows no configuration yet: it asks several times a second.
-const NO_CONFIGURATION: Duration = Duration::from_millis(500);
-/// Our own last answer leaves this long before the caller's time is over, so that it arrives.
-const MARGIN: Duration = Duration::from_millis(8);
-/// What an endpoint takes until its first event, and the way back; a stream is sent no later than this before its
-/// caller leaves.
-const FIRST_EVENT: Duration = Duration::from_millis(150);
-/// What the caller of a request reads that is refused because of what it did to endpoints.
-const CRASHES: &str = "Crashes: endpoints ended while they ran this request, one after the other, so it is refused. Do not send \
+/// A router that has just started holds requests for their deadline divided by this, until its
+/// first reads of the store are done or have failed. They take some 20 ms unless the store is
+/// unreachable; without the wait, the requests of that moment after a loss of power would be
+/// refused.
+const FIRST_READ_DIVISOR: u32 = 3;
+/// The longest that a request is held for the first reads of the store.
+const MAX_FIRST_READ_WAIT: Duration = Duration::from_millis(500);
+/// `Retry-After` of a router that has no configuration yet: it asks the store several times a
+/// second.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Time before the deadline of the caller at which the router sends its own last response, so that
+/// it arrives in time.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(8);
+/// Time that an endpoint takes until the first event, and the event on its way back. A stream is
+/// sent at least this long before its caller leaves.
+const FIRST_EVENT_TIME: Duration = Duration::from_millis(150);
+/// Response text for a request that is refused because it crashes endpoints.
+const CRASH_REFUSAL_TEXT: &str = "Crashes: endpoints ended while they ran this request, one after the other, so it is refused. Do not send \
                        it again as it is; an operator can let it go.\n";
-/// A caller that names no deadline is held no longer than its route says; this stands in where that says nothing.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Deadline of a request if neither its caller nor its route sets a shorter one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Logs a request that was dropped because its caller left.
-struct Watch {
+/// Counts a request as in flight, and logs that its caller has left if it is dropped before there
+/// is a response.
+struct RequestGuard {
     shared: Arc<Shared>,
-    times: Times,
-    done: bool,
+    request_log: RequestLog,
+    has_response: bool,
 }
 
-impl Drop for Watch {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.shared.flying.fetch_sub(1, Ordering::Relaxed);
-        if !self.done {
-            self.times.left();
+        self.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
+        if !self.has_response {
+            self.request_log.log_caller_left();
         }
     }
 }
 
-/// Answers a request.
+/// Answers a request of a caller.
 pub(crate) async fn answer(
     shared: Arc<Shared>,
-    caller: Caller,
+    caller: CallerConnection,
     request: Request<Incoming>,
 ) -> Response<Body> {
     let arrived = Instant::now();
     let id = platform::request_id(request.headers()).cloned();
-    let name = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("");
-    let times =
-        Times { name: name.to_owned(), class: String::new(), arrived, until: arrived + LONGEST };
-    shared.flying.fetch_add(1, Ordering::Relaxed);
-    let mut watch = Watch { shared: shared.clone(), times, done: false };
-    let mut response = match take(&shared, caller, request, &mut watch.times).await {
+    let request_id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("");
+    let request_log = RequestLog {
+        request_id: request_id.to_owned(),
+        class: String::new(),
+        arrived,
+        deadline: arrived + DEFAULT_DEADLINE,
+    };
+    shared.in_flight.fetch_add(1, Ordering::Relaxed);
+    let mut guard = RequestGuard { shared: shared.clone(), request_log, has_response: false };
+    let mut response = match handle(&shared, caller, request, &mut guard.request_log).await {
         Ok(response) => response,
-        Err(failure) => refuse(&watch.times, id.as_ref(), failure),
+        Err(failure) => refusal_response(&guard.request_log, id.as_ref(), failure),
     };
     if shared.shutdown.phase() != Phase::Run {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    watch.done = true;
+    guard.has_response = true;
     response
 }
 
-fn own(status: StatusCode, cause: Refusal, after: Option<Duration>) -> Failure {
+fn failure(status: StatusCode, cause: Refusal, after: Option<Duration>) -> Failure {
     Failure { status, cause, after }
 }
 
-async fn take(
+async fn handle(
     shared: &Arc<Shared>,
-    caller: Caller,
+    caller: CallerConnection,
     request: Request<Incoming>,
-    times: &mut Times,
+    request_log: &mut RequestLog,
 ) -> Result<Response<Body>, Failure> {
     let (mut parts, body) = request.into_parts();
-    let malformed = || own(StatusCode::BAD_REQUEST, Refusal::Malformed, None);
+    let malformed = || failure(StatusCode::BAD_REQUEST, Refusal::Malformed, None);
     let call = platform::read_call(&parts).map_err(|_| malformed())?;
-    let Entry { catalog, route, identity } = enter(shared, &call, &parts, times).await?;
+    let AuthorizedRequest { catalog, route, identity } =
+        authorize(shared, &call, &parts, request_log).await?;
     let service = route
         .backend(rand::random())
         .cloned()
-        .ok_or_else(|| own(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoEndpoint, None))?;
-    let left = call.deadline.unwrap_or(LONGEST).min(route.timeout);
-    let due = times.arrived + left.saturating_sub(MARGIN);
-    let start = due.min(times.arrived + route.patience.saturating_sub(FIRST_EVENT));
-    times.until = times.arrived + left;
-    times.class = route.class();
+        .ok_or_else(|| failure(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoEndpoint, None))?;
+    let time_left = call.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+    let deadline = request_log.arrived + time_left.saturating_sub(RESPONSE_MARGIN);
+    let send_by =
+        deadline.min(request_log.arrived + route.patience.saturating_sub(FIRST_EVENT_TIME));
+    request_log.deadline = request_log.arrived + time_left;
+    request_log.class = route.class();
     emit(&Event::Accepted {
-        request: &times.name,
+        request: &request_log.request_id,
         route: &route.name,
-        class: &times.class,
+        class: &request_log.class,
         version: catalog.version.0,
         model: &call.model.as_ref().map(ToString::to_string).unwrap_or_default(),
-        left_ms: millis(left),
+        left_ms: millis(time_left),
         target_ms: millis(route.target),
         pause_ms: millis(route.pause),
     });
-    shared.count(&service);
+    shared.record_request(&service);
     let charge = match identity.workspace() {
         Some(workspace) => {
-            let until = times.arrived + first_hold(&call);
-            charge::charge(shared, &catalog, workspace, &times.name, call.tokens, until).await?
+            let share_deadline = request_log.arrived + first_read_wait(&call);
+            charge::charge(
+                shared,
+                &catalog,
+                workspace,
+                &request_log.request_id,
+                call.tokens,
+                share_deadline,
+            )
+            .await?
         }
         None => None,
     };
-    let read = tokio::time::timeout_at(due, web::read(body, catalog.limits.body)).await;
+    let read = tokio::time::timeout_at(deadline, web::read(body, catalog.limits.body)).await;
     let Ok(read) = read else {
-        return Err(own(StatusCode::REQUEST_TIMEOUT, Refusal::TimedOut, None));
+        return Err(failure(StatusCode::REQUEST_TIMEOUT, Refusal::TimedOut, None));
     };
     let body = match read {
         Ok(body) => body,
         Err(ReadError::Large { .. }) => {
-            return Err(own(StatusCode::PAYLOAD_TOO_LARGE, Refusal::Malformed, None));
+            return Err(failure(StatusCode::PAYLOAD_TOO_LARGE, Refusal::Malformed, None));
         }
         Err(ReadError::Cut(_)) => return Err(malformed()),
     };
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-    let sender = match identity.workspace() {
-        // Its keys are replaced, and what ends endpoints is known with the next one.
+    let caller_id = match identity.workspace() {
+        // The keys of a workspace are rotated; a request that crashes endpoints must be recognized
+        // with the next key too.
         Some(workspace) => workspace.name.as_str().as_bytes(),
         None => platform::caller_key(&parts.headers),
     };
     let (host, method) = (call.host.as_bytes(), parts.method.as_str().as_bytes());
-    let digest = Digest::of(&[host, sender, method, path.as_bytes(), &body]);
+    let digest = Digest::of(&[host, caller_id, method, path.as_bytes(), &body]);
     if !matches!(identity, Identity::Unmanaged) {
         platform::remove_identity(&mut parts.headers);
     }
     let (method, uri, headers) = (parts.method, parts.uri, parts.headers);
-    let outgoing = Outgoing { method, uri, headers, body, digest };
-    let mut flight = Flight {
+    let outgoing = OutgoingRequest { method, uri, headers, body, digest };
+    let mut in_flight = InFlightRequest {
         shared: shared.clone(),
         caller,
         catalog,
         route,
         service,
         call,
-        name: times.name.clone(),
-        class: times.class.clone(),
+        request_id: request_log.request_id.clone(),
+        class: request_log.class.clone(),
         outgoing,
-        due,
-        start,
-        tried: Vec::new(),
-        life: None,
+        deadline,
+        send_by,
+        excluded: Vec::new(),
+        incarnation: None,
         sends: 0,
         runs: 0,
         pool: None,
         identity,
         charge,
-        pass: None,
+        permit: None,
     };
-    let answer = flight.answer(None).await?;
-    let mut pace = Pace::default();
-    pace.piece();
-    if flight.route.kind.streams() && answer.head.status.is_success() {
-        return Ok(relay::stream(flight, answer, times.clone()));
+    let response = in_flight.fetch_response(None).await?;
+    let mut timing = ResponseTiming::default();
+    timing.record_chunk();
+    if in_flight.route.kind.streams() && response.head.status.is_success() {
+        return Ok(relay::relay_stream(in_flight, response, request_log.clone()));
     }
-    let response = relay::plain(&mut flight, answer).await?;
-    times.answered(response.status().as_u16(), &pace, true);
+    let response = relay::relay_buffered(&mut in_flight, response).await?;
+    request_log.log_response(response.status().as_u16(), &timing, true);
     Ok(response)
 }
 
-/// How long a request is held by a router that reads the store for the first time.
-fn first_hold(call: &Call) -> Duration {
-    (call.deadline.unwrap_or(LONGEST) / FIRST_READ).min(FIRST_HOLD)
+/// How long a request is held while the router reads the store for the first time.
+fn first_read_wait(call: &Call) -> Duration {
+    (call.deadline.unwrap_or(DEFAULT_DEADLINE) / FIRST_READ_DIVISOR).min(MAX_FIRST_READ_WAIT)
 }
 
-/// What decides on a request.
-struct Entry {
+/// What the router knows of a request once it is authorized.
+struct AuthorizedRequest {
     catalog: Arc<Catalog>,
     route: Route,
     identity: Identity,
 }
 
-/// Finds the route of a request, and lets it in by its key.
-async fn enter(
+/// Finds the route of a request, and checks its key.
+async fn authorize(
     shared: &Shared,
     call: &Call,
     parts: &request::Parts,
-    times: &Times,
-) -> Result<Entry, Failure> {
-    let hold = first_hold(call);
-    let arrival = access::Arrival {
-        name: &times.name,
+    request_log: &RequestLog,
+) -> Result<AuthorizedRequest, Failure> {
+    let first_read_wait = first_read_wait(call);
+    let access_request = access::AccessRequest {
+        request_id: &request_log.request_id,
         credential: platform::read_credential(&parts.headers),
         arrived: Moment::now(),
-        until: times.arrived + call.deadline.unwrap_or(LONGEST).saturating_sub(MARGIN),
+        deadline: request_log.arrived
+            + call.deadline.unwrap_or(DEFAULT_DEADLINE).saturating_sub(RESPONSE_MARGIN),
     };
     loop {
-        let catalog = shared.first_catalog(times.arrived + hold).await.ok_or_else(|| {
-            let after = shared.store_back().unwrap_or(NO_CONFIGURATION);
-            own(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoConfiguration, Some(after))
-        })?;
+        let catalog =
+            shared.first_catalog(request_log.arrived + first_read_wait).await.ok_or_else(|| {
+                let after = shared.store_retry_after().unwrap_or(NO_CONFIGURATION_RETRY_AFTER);
+                failure(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoConfiguration, Some(after))
+            })?;
         let route = catalog
             .route(&call.host, parts.uri.path())
-            .ok_or_else(|| own(StatusCode::NOT_FOUND, Refusal::NoRoute, None))?
+            .ok_or_else(|| failure(StatusCode::NOT_FOUND, Refusal::NoRoute, None))?
             .clone();
-        // A key that is not known is looked for again in what has been read since.
-        if let Some(identity) = access::enter(shared, &catalog, &route, &arrival).await? {
-            return Ok(Entry { catalog, route, identity });
+        // The store was read because the key is unknown: check again with the newest
+        // configuration.
+        if let Some(identity) =
+            access::authenticate(shared, &catalog, &route, &access_request).await?
+        {
+            return Ok(AuthorizedRequest { catalog, route, identity });
         }
     }
 }
 
-fn refuse(times: &Times, id: Option<&HeaderValue>, failure: Failure) -> Response<Body> {
+fn refusal_response(
+    request_log: &RequestLog,
+    id: Option<&HeaderValue>,
+    failure: Failure,
+) -> Response<Body> {
     emit(&Event::Refused {
-        request: &times.name,
-        class: &times.class,
+        request: &request_log.request_id,
+        class: &request_log.class,
         status: failure.status.as_u16(),
         cause: failure.cause,
         after_ms: failure.after.map_or(0, millis),
-        held_ms: millis(times.arrived.elapsed()),
+        held_ms: millis(request_log.arrived.elapsed()),
     });
     let text = match failure.cause {
-        Refusal::Crashes => CRASHES.to_owned(),
+        Refusal::Crashes => CRASH_REFUSAL_TEXT.to_owned(),
         cause => format!("{cause:?}\n"),
     };
     let mut response = web::text(failure.status, text);
--- /dev/null
+++ b/components/router/src/reservation.rs
@@ -0,0 +1,204 @@
+//! What a request holds while it waits for a model or is at an endpoint. It is released on drop,
+//! however the request ends.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use catalog::ModelId;
+use http::{HeaderMap, StatusCode};
+use quarantine::Digest;
+use tokio::time::Instant;
+use units::{EndpointId, Life, ModelName};
+
+use crate::endpoint::Peer;
+use crate::known::Peers;
+use crate::pool::Pool;
+use crate::runs::Ticket;
+use crate::shared::Shared;
+
+/// A request at an endpoint: counts against the endpoint until it is dropped.
+#[derive(Debug)]
+pub(crate) struct Reservation {
+    shared: Arc<Shared>,
+    pub(crate) id: EndpointId,
+    /// The incarnation of the endpoint in which the reservation was made.
+    pub(crate) incarnation: Option<Life>,
+    pub(crate) pool: Arc<Pool>,
+    /// Requests of this router at the endpoint, this one included.
+    pub(crate) running: u32,
+    /// Age of the last news of the endpoint.
+    pub(crate) age: Duration,
+    model: Option<ModelId>,
+    /// Prompt processing time that the endpoint still owes to the request.
+    prefill_time: Duration,
+    /// When the reservation was made, and how long after that the first event was expected.
+    reserved_at: Instant,
+    expected: Duration,
+    /// Whether the request waited for a model to be loaded.
+    pub(crate) waited_for_load: bool,
+    /// Whether a response has begun.
+    response_begun: bool,
+    /// Id of the request among the sent requests of the endpoint, once it has been sent.
+    ticket: Option<Ticket>,
+    /// Whether the request may not share the endpoint with other requests that were at crashed
+    /// endpoints.
+    isolated: bool,
+}
+
+impl Reservation {
+    /// Reserves a known endpoint for a request whose prompt takes `prefill_time` to process and
+    /// whose first event is expected after `expected`.
+    pub(crate) fn new(
+        shared: &Arc<Shared>,
+        table: &mut Peers,
+        id: EndpointId,
+        model: Option<&ModelId>,
+        (prefill_time, expected): (Duration, Duration),
+        isolated: bool,
+        now: Instant,
+    ) -> Option<Self> {
+        let tracked = table.map.get_mut(&id)?;
+        tracked.pool.runs().apart += u32::from(isolated);
+        tracked.pool.signs().sent(now);
+        tracked.running += 1;
+        if let Some(model) = model {
+            tracked.ahead.add(prefill_time, now);
+            let usage = tracked.uses.entry(model.model.clone()).or_default();
+            usage.begun += 1;
+            usage.running += 1;
+        }
+        let heard = tracked.state.as_ref().map_or(tracked.seen, |(_, heard)| *heard);
+        Some(Self {
+            shared: shared.clone(),
+            id,
+            incarnation: tracked.endpoint.life,
+            pool: tracked.pool.clone(),
+            running: tracked.running,
+            age: now - heard,
+            model: model.cloned(),
+            prefill_time,
+            reserved_at: now,
+            expected,
+            waited_for_load: false,
+            response_begun: false,
+            ticket: None,
+            isolated,
+        })
+    }
+
+    /// Whether the endpoint still accepts requests, in the incarnation in which the reservation
+    /// was made.
+    pub(crate) fn is_open(&self) -> bool {
+        let table = self.shared.known.lock();
+        let tracked =
+            table.map.get(&self.id).filter(|tracked| Arc::ptr_eq(&tracked.pool, &self.pool));
+        tracked.is_some_and(|tracked| tracked.stays() && tracked.away(Instant::now()).is_none())
+    }
+
+    /// Records that the request is sent now.
+    pub(crate) fn record_sent(&mut self, digest: &Digest) {
+        self.ticket.get_or_insert_with(|| self.pool.runs().begin(*digest));
+    }
+
+    /// Records that the endpoint survived the request, or never received it.
+    pub(crate) fn clear_suspicion(&mut self) {
+        if let Some(ticket) = self.ticket.take() {
+            self.pool.runs().end(ticket, true, Instant::now());
+        }
+    }
+
+    /// Applies what a response says of the endpoint, unless another endpoint has answered.
+    pub(crate) fn apply_headers(&self, status: StatusCode, headers: &HeaderMap) {
+        if platform::instance_of(headers).is_some_and(|other| other != self.id) {
+            return;
+        }
+        let same = |tracked: &Peer| Arc::ptr_eq(&tracked.pool, &self.pool);
+        let notice = platform::read_notice(status, headers);
+        self.shared.known.noticed(&self.id, self.incarnation, notice, same);
+    }
+
+    /// Records that the endpoint has begun to run the request.
+    pub(crate) fn record_begun(&mut self) {
+        let now = Instant::now();
+        self.pool.signs().alive(now);
+        self.response_begun = true;
+        if let Some(ticket) = self.ticket {
+            self.pool.runs().begun(ticket, now);
+        }
+        let shared = self.shared.clone();
+        let mut table = shared.known.lock();
+        self.remove_from_backlog(&mut table, now);
+        if let Some(model) = &self.model {
+            table.demand(&model.model).learn(self.expected, now - self.reserved_at);
+        }
+        drop(table);
+        // Requests that were held back for this prompt may be sent now.
+        shared.known.changed.notify_waiters();
+    }
+
+    /// Removes the prompt from the endpoint's backlog.
+    fn remove_from_backlog(&mut self, table: &mut Peers, now: Instant) {
+        let prefill_time = std::mem::take(&mut self.prefill_time);
+        if !prefill_time.is_zero()
+            && let Some(tracked) = self.tracked_endpoint(table)
+        {
+            tracked.ahead.done(prefill_time, now);
+        }
+    }
+
+    /// The endpoint, if it is still in the incarnation that the request was sent to.
+    fn tracked_endpoint<'a>(&self, table: &'a mut Peers) -> Option<&'a mut Peer> {
+        table.map.get_mut(&self.id).filter(|tracked| Arc::ptr_eq(&tracked.pool, &self.pool))
+    }
+}
+
+impl Drop for Reservation {
+    fn drop(&mut self) {
+        let now = Instant::now();
+        let mut runs = self.pool.runs();
+        runs.apart = runs.apart.saturating_sub(u32::from(self.isolated));
+        if let Some(ticket) = self.ticket {
+            runs.end(ticket, false, now);
+        }
+        drop(runs);
+        let shared = self.shared.clone();
+        let mut table = shared.known.lock();
+        self.remove_from_backlog(&mut table, now);
+        let Some(tracked) = self.tracked_endpoint(&mut table) else { return };
+        tracked.running = tracked.running.saturating_sub(1);
+        if tracked.running == 0 && self.response_begun {
+            self.pool.signs().rest(now);
+        }
+        if let Some(model) = &self.model
+            && let Some(usage) = tracked.uses.get_mut(&model.model)
+        {
+            usage.running = usage.running.saturating_sub(1);
+        }
+    }
+}
+
+/// Counts a request that waits for a model, until it is dropped.
+#[derive(Debug)]
+pub(crate) struct WaitingRequest {
+    shared: Arc<Shared>,
+    model: ModelName,
+}
+
+impl WaitingRequest {
+    pub(crate) fn new(shared: &Arc<Shared>, target: &ModelId) -> Self {
+        *shared.known.lock().waiting.entry(target.model.clone()).or_default() += 1;
+        Self { shared: shared.clone(), model: target.model.clone() }
+    }
+}
+
+impl Drop for WaitingRequest {
+    fn drop(&mut self) {
+        let mut table = self.shared.known.lock();
+        if let Some(count) = table.waiting.get_mut(&self.model) {
+            *count -= 1;
+            if *count == 0 {
+                table.waiting.remove(&self.model);
+            }
+        }
+    }
+}
--- a/components/router/src/run.rs
+++ b/components/router/src/run.rs
@@ -14,19 +14,19 @@
 use web::{Body, ServeOptions};
 
 use crate::shared::Shared;
-use crate::{Settings, borrow, feed, ledger, prepare, quotas, ready, roster, serve, snapshot};
+use crate::{Settings, borrow, feed, ledger, prefetch, quotas, ready, roster, serve, snapshot};
 
-/// Runs until the process is asked to end and its requests are done.
+/// Runs the router until the process is asked to end and its requests are done.
 pub async fn run(process: Single<Settings>) -> Result<(), StartError> {
     let settings = process.settings.borrow().clone();
     let callers = TcpListener::bind(settings.callers).await.map_err(StartError::new)?;
-    let asked = web::bind(settings.ready).await.map_err(StartError::new)?;
+    let readiness = web::bind(settings.ready).await.map_err(StartError::new)?;
     let control = web::bind(settings.control).await.map_err(StartError::new)?;
     if let Some(addr) = settings.metrics {
         process::serve_metrics(addr).await?;
     }
     let (shared, records) = Shared::new(&process);
-    // One client for all: it knows the era of the store by whatever is called.
+    // All tasks share one client, since it tracks the era of the store on behalf of all calls.
     let store = shared.store.clone();
     let shared = Arc::new(shared);
     tokio::spawn(ledger::read(shared.clone(), store.clone()));
@@ -35,32 +35,32 @@
     tokio::spawn(feed::members(shared.clone(), store.clone()));
     tokio::spawn(roster::follow(shared.clone(), store));
     tokio::spawn(snapshot::follow(shared.clone()));
-    tokio::spawn(prepare::run(shared.clone()));
-    let balancer = shared.clone();
+    tokio::spawn(prefetch::run(shared.clone()));
+    let ready_shared = shared.clone();
     let handler = move |request: http::Request<hyper::body::Incoming>, _| {
-        let answer = ready::answer(&balancer, request.uri().path());
+        let answer = ready::answer(&ready_shared, request.uri().path());
         async move { answer }
     };
     let force = process.shutdown.flag(Phase::Force);
-    tokio::spawn(web::serve(asked, ServeOptions::default(), force.clone(), handler));
-    let known = shared.clone();
+    tokio::spawn(web::serve(readiness, ServeOptions::default(), force.clone(), handler));
+    let control_shared = shared.clone();
     let handler = move |request: http::Request<hyper::body::Incoming>, _| {
-        let known = known.clone();
-        async move { answer(&known, request).await }
+        let shared = control_shared.clone();
+        async move { answer_control(&shared, request).await }
     };
     tokio::spawn(web::serve(control, ServeOptions::default(), force, handler));
     let stopping = shared.clone();
     tokio::spawn(async move {
         stopping.shutdown.reached(Phase::Drain).await;
-        emit(&Event::Stopping { requests: stopping.flying.load(Ordering::Relaxed) });
+        emit(&Event::Stopping { requests: stopping.in_flight.load(Ordering::Relaxed) });
     });
     serve::run(shared.clone(), callers).await;
-    emit(&Event::Stopped { requests: shared.flying.load(Ordering::Relaxed) });
+    emit(&Event::Stopped { requests: shared.in_flight.load(Ordering::Relaxed) });
     Ok(())
 }
 
-/// Answers other routers and operators.
-async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
+/// Answers requests of other routers and of operators.
+async fn answer_control(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, SNAPSHOT_PATH) => snapshot::answer(shared, request.uri()),
         (&Method::POST, ENDS_PATH) => ledger::answer(shared, request).await,
--- a/components/router/src/serve.rs
+++ b/components/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one task each.
+//! Serves the connections of callers, each in its own task.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,19 +14,20 @@
 use tokio::time::Instant;
 use units::Span;
 
-use crate::caller::Caller;
+use crate::caller::CallerConnection;
 use crate::request;
 use crate::shared::Shared;
 
-/// How long a connection may be idle before a configuration says so.
-const IDLE: Duration = Duration::from_secs(15);
-/// The read buffer of a connection must hold at least this many bytes.
-const BUFFER_LEAST: usize = 8 << 10;
-/// The balancer asks once a second and needs two misses; until then new connections come to one that is ending. What
-/// comes later could not be finished before the process is killed.
-const LINGER: Duration = Duration::from_millis(2_700);
-/// The process ends this long before it would be killed.
-const MARGIN: Duration = Duration::from_millis(250);
+/// How long a connection may be idle while there is no configuration.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The minimum size of the read buffer of a connection, in bytes.
+const MIN_READ_BUFFER_BYTES: usize = 8 << 10;
+/// How long new connections are still accepted after the process was asked to end: the load
+/// balancer checks once a second and needs two failed checks. Later requests could not be finished
+/// before the process is killed.
+const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2_700);
+/// How long before it would be killed the process ends.
+const KILL_MARGIN: Duration = Duration::from_millis(250);
 
 /// Serves callers until the process is asked to end and its requests are done.
 pub(crate) async fn run(shared: Arc<Shared>, listener: TcpListener) {
@@ -34,38 +35,43 @@
     let mut connections = JoinSet::new();
     let drain = shared.shutdown.reached(Phase::Drain);
     tokio::pin!(drain);
-    let mut linger: Option<Instant> = None;
+    let mut accept_deadline: Option<Instant> = None;
     loop {
-        let over = linger.unwrap_or_else(|| Instant::now() + LINGER);
+        let deadline = accept_deadline.unwrap_or_else(|| Instant::now() + BALANCER_DRAIN_TIME);
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    connections.spawn(connection(shared.clone(), stream, stopped.clone()));
+                    connections.spawn(serve_connection(shared.clone(), stream, stopped.clone()));
                 }
                 Err(error) => {
-                    log::warn!("router: accept failed: {error}");
+                    log::warn!("router: accepting a connection failed: {error}");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             },
             Some(_) = connections.join_next() => {}
-            () = &mut drain, if linger.is_none() => linger = Some(Instant::now() + LINGER),
-            () = tokio::time::sleep_until(over), if linger.is_some() => break,
+            () = &mut drain, if accept_deadline.is_none() => {
+                accept_deadline = Some(Instant::now() + BALANCER_DRAIN_TIME);
+            }
+            () = tokio::time::sleep_until(deadline), if accept_deadline.is_some() => break,
         }
     }
     drop(listener);
     stop.send_replace(true);
     shared.closing.send_replace(true);
     let Span(grace) = shared.settings.borrow().grace;
-    let left = grace.saturating_sub(LINGER).saturating_sub(MARGIN);
+    let time_left = grace.saturating_sub(BALANCER_DRAIN_TIME).saturating_sub(KILL_MARGIN);
     let all = async { while connections.join_next().await.is_some() {} };
-    let _ = tokio::time::timeout(left, all).await;
+    let _ = tokio::time::timeout(time_left, all).await;
 }
 
-async fn connection(shared: Arc<Shared>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
-    let caller = Caller::new(stream);
+async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
+    let caller = CallerConnection::new(stream);
     let limits = shared.current().map(|catalog| catalog.limits.clone());
-    let idle = limits.as_ref().map_or(IDLE, |limits| limits.idle.max(limits.patience));
-    let header = limits.as_ref().map_or(BUFFER_LEAST, |limits| limits.header.max(BUFFER_LEAST));
+    let idle =
+        limits.as_ref().map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle.max(limits.patience));
+    let header = limits
+        .as_ref()
+        .map_or(MIN_READ_BUFFER_BYTES, |limits| limits.header.max(MIN_READ_BUFFER_BYTES));
     let service = service_fn(|request| {
         let answer = request::answer(shared.clone(), caller.clone(), request);
         async move { Ok::<_, Infallible>(answer.await) }
@@ -82,6 +88,6 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("router: a caller's connection ended: {error}");
+        log::debug!("router: the connection of a caller failed: {error}");
     }
 }
--- a/components/router/src/settings.rs
+++ b/components/router/src/settings.rs
@@ -10,76 +10,78 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The instance that it runs on.
+    /// The instance that the router runs on.
     pub instance: InstanceId,
     /// The failure domain of the instance.
     pub domain: Domain,
-    /// Where callers reach it.
+    /// The address at which callers reach the router.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it takes callers.
+    /// The address at which the load balancer asks whether the router accepts callers.
     pub ready: SocketAddr,
-    /// Where other routers ask it for what it knows.
+    /// The address at which other routers and operators ask the router for its state.
     pub control: SocketAddr,
-    /// Routers that it asks while it knows nothing and the store does not answer.
+    /// The other routers, which are asked for their state while the store is unreachable.
     pub peers: Vec<SocketAddr>,
-    /// Where its metrics are read, if anywhere: `GET /metrics`.
+    /// The address of `GET /metrics`, if metrics are served.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The port of the loader on the machine of each model server.
+    /// The port of the loader, at the address of each model server.
     #[serde(rename = "loader-port")]
     pub loader: u16,
-    /// How long a graceful stop may take.
+    /// The time that a graceful stop may take.
     pub grace: Span,
-    /// How soon news of the store must be acted on.
+    /// Time limits for acting on changes in the store.
     pub bounds: Bounds,
-    /// Bounds on sending requests again.
-    pub repeats: RepeatSettings,
-    /// By how much limits of workspaces may be passed.
+    /// Limits on retries.
+    pub repeats: RetrySettings,
+    /// By how much the quotas of workspaces may be exceeded.
     #[serde(default)]
     pub quota: Option<QuotaSettings>,
 }
 
-/// How soon news of the store must be acted on, from the moment at which it was stored.
+/// Time limits for acting on changes in the store, counted from the moment at which a change was
+/// stored.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// A version of the configuration must be in force within this time.
+    /// The time within which a version of the configuration must be in force.
     pub apply: Span,
-    /// An endpoint that leaves must get nothing any more within this time.
+    /// The time within which a draining endpoint must no longer get requests.
     pub drain: Span,
-    /// A key that was taken away must not be served later than this, also by a router that nobody reaches.
+    /// The time after which a revoked key must not be served any more, even by a router that is
+    /// cut off.
     #[serde(default)]
     pub revoke: Option<Span>,
 }
 
-/// Bounds on sending requests again, over all routers together.
+/// Limits on retries, over all routers together.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RepeatSettings {
-    /// Repeats for each request.
+pub struct RetrySettings {
+    /// Retries that are allowed for each request.
     pub ratio: f64,
-    /// Repeats in a window beyond these.
+    /// Retries in a window that are allowed beyond that ratio.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Span,
 }
 
-/// By how much the limits of workspaces may be passed, over all routers together.
+/// By how much the quotas of workspaces may be exceeded, over all routers together.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSettings {
     /// The length of the windows in which requests are counted.
     pub window: Span,
-    /// The part of a limit beyond it.
+    /// The fraction of a quota by which it may be exceeded.
     pub overshoot: f64,
-    /// Units beyond these.
+    /// Units by which a quota may be exceeded in addition.
     pub slack: f64,
 }
 
 impl Default for QuotaSettings {
-    /// No limit is passed by anything.
+    /// Quotas must not be exceeded at all.
     fn default() -> Self {
         Self { window: Span(Duration::from_secs(1)), overshoot: 0.0, slack: 0.0 }
     }
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a router share.
+//! State that all tasks of a router share.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicUsize;
@@ -17,42 +17,44 @@
 use web::Client;
 
 use crate::Settings;
-use crate::access::Access;
+use crate::access::KeyState;
 use crate::endpoint::Peer;
 use crate::guard::Guard;
 use crate::known::Known;
 use crate::quotas::Quotas;
 
-/// Callers of a router that waits for the store come back no sooner: it asks several times a second.
-const SOONEST_BACK: Duration = Duration::from_millis(500);
-/// And no later: the store is back sooner than that as a rule.
-const LATEST_BACK: Duration = Duration::from_secs(4);
+/// Minimum `Retry-After` of a router that waits for the store, which it asks several times a
+/// second.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum `Retry-After` of a router that waits for the store, which is usually back sooner.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// When callers may come back to a router that has not reached the store for this time: an outage that has lasted for some time is
-/// likely to last as long again, and one that comes back too early is lost.
-pub(crate) fn back_after(away: Duration) -> Duration {
-    away.clamp(SOONEST_BACK, LATEST_BACK)
+/// `Retry-After` of a router that has not reached the store for this time. An outage is likely to
+/// last as long again as it has lasted, and a request that is retried too early fails again.
+pub(crate) fn outage_retry_after(outage: Duration) -> Duration {
+    outage.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
-/// What a router that starts has from the store.
+/// What a starting router has got from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Start {
-    /// Nothing yet: its first reads are on their way.
+enum StartState {
+    /// Nothing yet: the first reads are in progress.
     Reading,
-    /// Not both, and the store does not answer since then.
-    Away(Instant),
-    /// A configuration and a list of endpoints.
-    Known,
+    /// The configuration or the list of endpoints is missing, and the store is unreachable since
+    /// then.
+    Unreachable(Instant),
+    /// Both a configuration and a list of endpoints are known.
+    Ready,
 }
 
-/// What is followed in the store.
+/// A part of the store that the router follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Feed {
     Configuration,
     Membership,
 }
 
-/// The feeds whose last read gave nothing: what this router knows is getting older.
+/// The feeds whose last read failed: what the router knows of them may be outdated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct StaleFeeds {
     configuration: bool,
@@ -60,20 +62,20 @@
 }
 
 impl StaleFeeds {
-    fn set(&mut self, feed: Feed, still: bool) {
+    fn set(&mut self, feed: Feed, stale: bool) {
         match feed {
-            Feed::Configuration => self.configuration = still,
-            Feed::Membership => self.membership = still,
+            Feed::Configuration => self.configuration = stale,
+            Feed::Membership => self.membership = stale,
         }
     }
 
-    /// Whether one stands still.
+    /// Whether any feed is stale.
     pub(crate) fn any(self) -> bool {
         self.configuration || self.membership
     }
 }
 
-/// What all tasks of a router share.
+/// State that all tasks of a router share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: watch::Receiver<Arc<Settings>>,
@@ -83,27 +85,29 @@
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
     pub(crate) known: Known,
     pub(crate) shutdown: Shutdown,
-    /// Whether it takes no connections any more, since it is ending: what has no place by then is refused.
+    /// Whether the router is ending and accepts no connections any more: requests that have no
+    /// endpoint by then are refused.
     pub(crate) closing: watch::Sender<bool>,
-    start: watch::Sender<Start>,
+    start_state: watch::Sender<StartState>,
     pub(crate) stale_feeds: watch::Sender<StaleFeeds>,
-    /// Requests in flight.
-    pub(crate) flying: AtomicUsize,
+    /// Number of requests in flight.
+    pub(crate) in_flight: AtomicUsize,
     pub(crate) client: Client,
     pub(crate) store: Store,
-    /// What is known of callers' keys besides the configuration.
-    pub(crate) access: Access,
-    /// Holds workspaces to their limits.
+    /// What the router knows of the keys of callers besides the configuration.
+    pub(crate) access: KeyState,
+    /// Enforces the quotas of workspaces.
     pub(crate) quotas: Quotas,
-    /// Keeps requests that crash endpoints from them.
+    /// Holds back requests that crash endpoints.
     pub(crate) guard: Arc<Guard>,
-    /// How far the records on ended endpoints have been read, while the store answers.
+    /// How far the crash records have been read; none while the store is unreachable.
     pub(crate) crash_records_position: watch::Sender<Option<StorePosition>>,
-    repeats: Mutex<HashMap<ServiceName, Repeats>>,
+    retry_budgets: Mutex<HashMap<ServiceName, Repeats>>,
 }
 
 impl Shared {
-    /// With the records that the guard has to write.
+    /// Creates the shared state, and the queue of records that the crash guard wants written to
+    /// the store.
     pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<Kept>) {
         let settings = process.settings.borrow().clone();
         let (guard, records) = Guard::new(settings.instance.to_string());
@@ -116,21 +120,21 @@
             known: Known::default(),
             shutdown: process.shutdown.clone(),
             closing: watch::Sender::new(false),
-            start: watch::Sender::new(Start::Reading),
+            start_state: watch::Sender::new(StartState::Reading),
             stale_feeds: watch::Sender::new(StaleFeeds::default()),
-            flying: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             client: Client::default(),
             store: Store::new(settings.store),
-            access: Access::default(),
+            access: KeyState::default(),
             quotas: Quotas::new(settings.control, settings.domain.clone()),
             guard: Arc::new(guard),
             crash_records_position: watch::Sender::new(None),
-            repeats: Mutex::default(),
+            retry_budgets: Mutex::default(),
         };
         (shared, records)
     }
 
-    /// Routers that this one may ask.
+    /// The other routers, as the settings name them.
     pub(crate) fn other_routers(&self) -> Vec<std::net::SocketAddr> {
         let settings = self.settings.borrow();
         settings.peers.iter().filter(|router| **router != settings.control).copied().collect()
@@ -141,76 +145,78 @@
         self.catalog.borrow().clone()
     }
 
-    /// The configuration in force; at a start it is waited for until `until` with the list of endpoints, for as long as
-    /// the first reads of the store are on their way.
-    pub(crate) async fn first_catalog(&self, until: Instant) -> Option<Arc<Catalog>> {
-        let reading = *self.start.borrow() == Start::Reading;
+    /// The configuration in force. While the first reads of the store are in progress, waits until
+    /// `deadline` at most for the configuration and the list of endpoints.
+    pub(crate) async fn first_catalog(&self, deadline: Instant) -> Option<Arc<Catalog>> {
+        let reading = *self.start_state.borrow() == StartState::Reading;
         if reading {
-            let mut start = self.start.subscribe();
-            let known = start.wait_for(|start| *start != Start::Reading);
-            let _ = tokio::time::timeout_at(until, known).await;
+            let mut start = self.start_state.subscribe();
+            let known = start.wait_for(|start| *start != StartState::Reading);
+            let _ = tokio::time::timeout_at(deadline, known).await;
         }
         self.current()
     }
 
-    /// How far this router knows what is in the store.
+    /// How far this router has read the store.
     pub(crate) fn position(&self) -> Position {
         let version = self.current().map_or(Revision(0), |current| current.version);
-        let peers = self.known.lock();
-        Position { version, read: peers.read }
+        let table = self.known.lock();
+        Position { version, read: table.read }
     }
 
-    /// Notes how a read of the store ended; the first ones decide how requests of the start are taken.
+    /// Records whether a read of the store succeeded. The first reads decide whether requests at
+    /// the start wait or are refused.
     pub(crate) fn record_store_read(&self, feed: Feed, reached: bool) {
-        self.update_start(reached);
-        self.stale_feeds.send_if_modified(|still| {
-            let before = *still;
-            still.set(feed, !reached);
-            before != *still
+        self.update_start_state(reached);
+        self.stale_feeds.send_if_modified(|stale| {
+            let before = *stale;
+            stale.set(feed, !reached);
+            before != *stale
         });
     }
 
-    /// Notes whether there is something to serve with, after a read of the store or the word of another router.
-    pub(crate) fn update_start(&self, reached: bool) {
+    /// Updates the start state after a read of the store or an answer of another router.
+    pub(crate) fn update_start_state(&self, reached: bool) {
         let known = self.current().is_some() && self.known.lock().listed;
-        self.start.send_if_modified(|start| {
+        self.start_state.send_if_modified(|start| {
             let next = match (*start, known, reached) {
-                (_, true, _) => Start::Known,
-                (Start::Reading, false, false) => Start::Away(Instant::now()),
+                (_, true, _) => StartState::Ready,
+                (StartState::Reading, false, false) => StartState::Unreachable(Instant::now()),
                 (before, false, _) => before,
             };
             std::mem::replace(start, next) != next
         });
     }
 
-    /// Since when this router has nothing to serve with, because the store does not answer.
-    pub(crate) fn away_since(&self) -> Option<Instant> {
-        match *self.start.borrow() {
-            Start::Away(since) => Some(since),
-            Start::Reading | Start::Known => None,
+    /// Since when the store has been unreachable, if the router lacks the configuration or the
+    /// list of endpoints for that reason.
+    pub(crate) fn unreachable_since(&self) -> Option<Instant> {
+        match *self.start_state.borrow() {
+            StartState::Unreachable(since) => Some(since),
+            StartState::Reading | StartState::Ready => None,
         }
     }
 
-    /// When callers may come back while the store is away.
-    pub(crate) fn store_back(&self) -> Option<Duration> {
-        let away = self.away_since()?.elapsed();
-        Some(back_after(away))
+    /// `Retry-After` while the router can't serve because the store is unreachable.
+    pub(crate) fn store_retry_after(&self) -> Option<Duration> {
+        let outage = self.unreachable_since()?.elapsed();
+        Some(outage_retry_after(outage))
     }
 
-    /// By how much limits of workspaces may be passed.
-    pub(crate) fn bounds(&self) -> quota::Bounds {
+    /// By how much the quotas of workspaces may be exceeded.
+    pub(crate) fn quota_bounds(&self) -> quota::Bounds {
         let settings = self.settings.borrow().quota.unwrap_or_default();
         let Span(window) = settings.window;
         quota::Bounds { window, overshoot: settings.overshoot, slack: settings.slack }
     }
 
-    /// A client of the loader on the machine of an endpoint.
+    /// A client of the loader that runs on the instance of an endpoint.
     pub(crate) fn loader_client(&self, endpoint: std::net::SocketAddr) -> Loader {
         let addr = std::net::SocketAddr::new(endpoint.ip(), self.settings.borrow().loader);
         Loader::new(self.client.clone(), addr)
     }
 
-    /// Takes what a loader says of its endpoint.
+    /// Applies the state of an endpoint that its loader reported.
     pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: State) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
@@ -220,61 +226,69 @@
         self.known.heard(id, state, engine);
     }
 
-    /// Asks an endpoint for its report, as a sign of life.
+    /// Fetches the report of an endpoint, which shows that it responds.
     pub(crate) async fn fetch_report(
         &self,
         id: &EndpointId,
         endpoint: std::net::SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(), String> {
-        let report = platform::read_report(&self.client, endpoint, limit).await;
+        let report = platform::read_report(&self.client, endpoint, timeout).await;
         let report = report.map_err(|error| error.to_string())?;
-        let same = |peer: &Peer| peer.endpoint.addr == endpoint && peer.lives(report.life);
+        let same = |tracked: &Peer| tracked.endpoint.addr == endpoint && tracked.lives(report.life);
         self.known.noticed(id, report.life, report.notice, same);
         Ok(())
     }
 
-    /// Asks an endpoint whether it is well; `None` if it is not known any more or can't be asked.
-    pub(crate) async fn check_health(&self, id: &EndpointId, limit: Duration) -> Option<Health> {
+    /// Checks the health of an endpoint; `None` if the endpoint is unknown or can't be asked.
+    pub(crate) async fn check_health(&self, id: &EndpointId, timeout: Duration) -> Option<Health> {
         let (endpoint, pool) = {
-            let peers = self.known.lock();
-            let peer = peers.map.get(id)?;
-            (peer.endpoint.clone(), peer.pool.clone())
+            let table = self.known.lock();
+            let tracked = table.map.get(id)?;
+            (tracked.endpoint.clone(), tracked.pool.clone())
         };
         let catalog = self.current()?;
         let path = catalog.service(&endpoint.service)?.health.as_deref()?;
-        match platform::check_health(&self.client, endpoint.addr, path, id, limit).await {
+        match platform::check_health(&self.client, endpoint.addr, path, id, timeout).await {
             Ok((health, notice)) => {
-                let same = |peer: &Peer| Arc::ptr_eq(&peer.pool, &pool);
+                let same = |tracked: &Peer| Arc::ptr_eq(&tracked.pool, &pool);
                 self.known.noticed(id, endpoint.life, notice, same);
                 Some(health)
             }
             Err(error) => {
-                log::debug!("router: an endpoint did not tell whether it is well: {error}");
+                log::debug!("router: the health check of {id} failed: {error}");
                 None
             }
         }
     }
 
-    /// Counts a request to a service.
-    pub(crate) fn count(&self, service: &ServiceName) {
-        self.with_repeats(service, |repeats| repeats.request(Instant::now()));
+    /// Counts a request to a service for its retry budget.
+    pub(crate) fn record_request(&self, service: &ServiceName) {
+        self.with_retry_budget(service, |budget| budget.request(Instant::now()));
     }
 
-    /// Takes a repeat from the budget of a service, for a request.
-    pub(crate) fn may_repeat(&self, service: &ServiceName, request: &str) -> bool {
+    /// Takes a retry of a request from the budget of its service; false if the budget is
+    /// exhausted.
+    pub(crate) fn try_retry(&self, service: &ServiceName, request_id: &str) -> bool {
         let routers = self.known.lock().heard_routers();
-        let taken = self.with_repeats(service, |repeats| repeats.repeat(routers, Instant::now()));
-        let Repeat { allowed, spent, limit } = taken;
-        emit(&Event::Repeat { request, service: service.as_str(), allowed, spent, limit });
+        let decision =
+            self.with_retry_budget(service, |budget| budget.repeat(routers, Instant::now()));
+        let Repeat { allowed, spent, limit } = decision;
+        emit(&Event::Repeat {
+            request: request_id,
+            service: service.as_str(),
+            allowed,
+            spent,
+            limit,
+        });
         allowed
     }
 
-    fn with_repeats<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Repeats) -> T) -> T {
-        let mut all = self.repeats.lock().unwrap_or_else(PoisonError::into_inner);
+    fn with_retry_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Repeats) -> T) -> T {
+        let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = self.settings.borrow().repeats;
         let Span(window) = limits.window;
         let limits = RepeatLimits { ratio: limits.ratio, slack: limits.slack, window };
-        f(all.entry(service.clone()).or_insert_with(|| Repeats::new(limits)))
+        f(budgets.entry(service.clone()).or_insert_with(|| Repeats::new(limits)))
     }
 }
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -50,7 +50,7 @@
     let mut turn = 0;
     while still.wait_for(|still| still.any()).await.is_ok() {
         let mut others = shared.other_routers();
-        let first = shared.away_since().is_some();
+        let first = shared.unreachable_since().is_some();
         if !first && !others.is_empty() {
             turn += 1;
             others = vec![others[turn % others.len()]];
@@ -102,5 +102,5 @@
         missing::ask(shared, asked);
         peer::follow_new(shared);
     }
-    shared.update_start(false);
+    shared.update_start_state(false);
 }
