--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -77,8 +77,8 @@
         self.freshness.send_modify(|freshness| freshness.extend(sent));
     }
 
-    /// Records that another router, asked at `sent`, had read the store `age` before and has the
-    /// same configuration as this one.
+    /// Records that another router, which was asked at `sent` and whose last read of the store was
+    /// `age` old then, has the same configuration as this one.
     pub(crate) fn record_peer_read(&self, sent: Moment, age: Duration) {
         self.freshness.send_modify(|freshness| freshness.extend_by_word(sent, age));
     }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -282,7 +282,7 @@
 }
 
 /// The time until another replica is loaded, if the request would miss its target at the present
-/// replicas and the new one is expected to be faster.
+/// replicas and that time is less than half of what they are expected to take.
 fn faster_loading_replica(
     candidates: &[Candidate<'_>],
     needs: &RequestNeeds<'_>,
--- a/components/router/src/in_flight.rs
+++ b/components/router/src/in_flight.rs
@@ -22,18 +22,18 @@
 use crate::reservation::Reservation;
 use crate::shared::Shared;
 
-/// The most times that one request is sent: refusals by full endpoints and closed connections
-/// count too.
+/// How often a request that has not run is sent at most, after refusals by full endpoints and
+/// closed connections.
 const MAX_SENDS: u32 = 5;
 /// Pause before a refused request is sent again: by then the state of the endpoints has probably
 /// changed.
 const RESEND_DELAY: Duration = Duration::from_millis(20);
-/// `Retry-After` of a request that timed out while waiting: by then the model load that it waited
-/// for has probably finished.
+/// `Retry-After` of a request that timed out while waiting, or was waiting when the router stopped:
+/// by then the model load that it waited for has probably finished.
 const WAIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// A request that may run twice considers another endpoint when no response has arrived within
 /// this many times its target time.
-const TARGET_MULTIPLE: u32 = 3;
+const RECONSIDER_TARGET_MULTIPLE: u32 = 3;
 
 /// Why the router answers a request itself, without a response of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -264,7 +264,7 @@
     /// When a request that may run twice reconsiders its endpoint.
     fn reconsider_at(&self, now: Instant) -> Option<Instant> {
         let elsewhere = self.route.kind.repeatable() && self.runs + 1 < self.route.attempts;
-        elsewhere.then(|| self.deadline.min(now + self.route.target * TARGET_MULTIPLE))
+        elsewhere.then(|| self.deadline.min(now + self.route.target * RECONSIDER_TARGET_MULTIPLE))
     }
 
     /// Whether a request without any response leaves its endpoint. It loses its turn there, so
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -113,18 +113,19 @@
     }
 }
 
+/// Reads a response body whole, up to [`MAX_BUFFERED_BYTES`].
 async fn collect(body: &mut Incoming) -> Result<Bytes, String> {
-    let mut complete = BytesMut::new();
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| error.to_string())?;
         if let Ok(data) = frame.into_data() {
-            complete.extend_from_slice(&data);
+            bytes.extend_from_slice(&data);
         }
-        if complete.len() > MAX_BUFFERED_BYTES {
-            return Err("the relayed is too large".to_owned());
+        if bytes.len() > MAX_BUFFERED_BYTES {
+            return Err("the response is too large".to_owned());
         }
     }
-    Ok(complete.freeze())
+    Ok(bytes.freeze())
 }
 
 /// Starts to relay a stream.
