--- a/components/loader/src/steward/turns.rs
+++ b/components/loader/src/steward/turns.rs
@@ -1,7 +1,7 @@
 //! A steward's turn at the weight store.
 
 use fleet::Tier;
-use platform::Work;
+use platform::Operation;
 
 use crate::lane::{self, Say, Wish};
 use crate::plan;
@@ -12,7 +12,7 @@
     pub(super) fn ask_lane(&mut self) {
         let wish = plan::cold_want(&self.ledger).map(|(model, worth)| {
             let spec = self.ledger.engine.as_ref().and_then(|engine| engine.model(model));
-            let alone = spec.map_or(CALM, |spec| spec.cold);
+            let alone = spec.map_or(CALM, |spec| spec.store_load);
             Wish { model: model.clone(), worth, alone }
         });
         let same = match (&self.wished, &wish) {
@@ -32,7 +32,7 @@
 
     /// Gives the lane back when a load from the weight store is over, with the time that it took if the model is there.
     pub(super) fn end_turn(&mut self, over: &Pending) {
-        if over.work != Work::Load || over.tier != Tier::Store {
+        if over.work != Operation::Load || over.tier != Tier::Store {
             return;
         }
         let took = over.since.elapsed();
--- a/components/router/src/access.rs
+++ b/components/router/src/access.rs
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use access::{Credential, Denial, Lookup, Proof, Verdict, judge};
+use access::{AccessCheck, AccessDecision, Credential, Denial, Freshness, decide_access};
 use catalog::{Catalog, KeyDigest, Route, Workspace, Workspaces};
 use clock::Moment;
-use control::{DeniedKey, Proved};
+use control::{ConfirmedVersion, DeniedKey};
 use events::{Event, Refusal, emit, millis};
 use http::StatusCode;
 use tokio::sync::{Notify, watch};
@@ -38,7 +38,7 @@
 /// What a router knows of keys besides the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct KeyState {
-    freshness: watch::Sender<Proof>,
+    freshness: watch::Sender<Freshness>,
     revoked: Mutex<HashSet<KeyDigest>>,
     waiting: AtomicUsize,
     denied: Mutex<VecDeque<DeniedKey>>,
@@ -74,21 +74,21 @@
 
     /// Records that a read of the store which was sent at `sent` found no newer configuration.
     pub(crate) fn record_read(&self, sent: Moment) {
-        self.freshness.send_modify(|freshness| freshness.extend(sent));
+        self.freshness.send_modify(|freshness| freshness.record_read(sent));
     }
 
     /// Records that another router, which was asked at `sent` and whose last read of the store was
     /// `age` old then, has the same configuration as this one.
     pub(crate) fn record_peer_read(&self, sent: Moment, age: Duration) {
-        self.freshness.send_modify(|freshness| freshness.extend_by_word(sent, age));
+        self.freshness.send_modify(|freshness| freshness.record_peer_read(sent, age));
     }
 
     /// The version of the configuration that this router confirms to other routers, and when it
     /// was last read.
-    pub(crate) fn confirmed_version(&self, catalog: &Catalog) -> Option<Proved> {
+    pub(crate) fn confirmed_version(&self, catalog: &Catalog) -> Option<ConfirmedVersion> {
         catalog.workspaces.as_ref()?;
         let age = self.freshness.borrow().age(Moment::now())?;
-        Some(Proved { version: catalog.version, age })
+        Some(ConfirmedVersion { version: catalog.version, age })
     }
 
     /// Updates the revoked keys after a change of the configuration.
@@ -104,7 +104,7 @@
     /// Whether the last read of the store is recent enough to serve keys.
     pub(crate) fn is_fresh(&self, bound: Option<Span>) -> bool {
         let freshness = *self.freshness.borrow();
-        bound.is_none_or(|Span(bound)| freshness.holds(Moment::now(), bound))
+        bound.is_none_or(|Span(bound)| freshness.is_fresh(Moment::now(), bound))
     }
 
     /// `Retry-After` while the last read of the store is too old to serve keys.
@@ -175,41 +175,43 @@
         Credential::Key(key) => shared.access.revoked().contains(&key),
         Credential::Absent | Credential::Malformed => false,
     };
-    let lookup = Lookup {
+    let check = AccessCheck {
         credential: request.credential,
-        open: route.open,
+        anonymous_allowed: route.anonymous_allowed,
         workspaces: catalog.workspaces.as_ref(),
         revoked,
-        proof: *shared.access.freshness.borrow(),
-        bound: bound.map(|Span(bound)| bound),
+        freshness: *shared.access.freshness.borrow(),
+        revocation_bound: bound.map(|Span(bound)| bound),
         arrived: request.arrived,
         now: Moment::now(),
     };
-    match judge(&lookup) {
-        Verdict::Unmanaged => Ok(Some(Identity::Unmanaged)),
-        Verdict::Anonymous => Ok(Some(Identity::Anonymous)),
-        Verdict::Member(workspace) => Ok(Some(Identity::Member(Arc::new(workspace.clone())))),
-        Verdict::Denied(denial) => {
+    match decide_access(&check) {
+        AccessDecision::Unmanaged => Ok(Some(Identity::Unmanaged)),
+        AccessDecision::Anonymous => Ok(Some(Identity::Anonymous)),
+        AccessDecision::Member(workspace) => {
+            Ok(Some(Identity::Member(Arc::new(workspace.clone()))))
+        }
+        AccessDecision::Denied(denial) => {
             let cause = match denial {
                 Denial::Missing => "no key",
                 Denial::Malformed => "no key can be read",
                 Denial::Revoked => "the key was taken away",
                 Denial::Unknown => "no workspace has the key",
             };
-            log_denial(shared, catalog, request, &lookup, cause);
+            log_denial(shared, catalog, request, &check, cause);
             let status = StatusCode::UNAUTHORIZED;
             Err(Failure { status, cause: Refusal::Unauthorized, after: None })
         }
-        Verdict::Unread => {
+        AccessDecision::NeedsRead => {
             let read_deadline = request.deadline.min(Instant::now() + MAX_READ_WAIT);
             if shared.access.read_since(request.arrived, read_deadline).await {
                 return Ok(None);
             }
-            log_denial(shared, catalog, request, &lookup, "the store was not read in time");
+            log_denial(shared, catalog, request, &check, "the store was not read in time");
             Err(stale_keys_failure(shared))
         }
-        Verdict::Unproved => {
-            log_denial(shared, catalog, request, &lookup, "the store was not read for too long");
+        AccessDecision::Stale => {
+            log_denial(shared, catalog, request, &check, "the store was not read for too long");
             Err(stale_keys_failure(shared))
         }
     }
@@ -226,7 +228,7 @@
     shared: &Shared,
     catalog: &Catalog,
     request: &AccessRequest<'_>,
-    lookup: &Lookup<'_>,
+    check: &AccessCheck<'_>,
     cause: &str,
 ) {
     let key = match request.credential {
@@ -239,6 +241,6 @@
         key: &key,
         cause,
         version: catalog.version.0,
-        age_ms: lookup.proof.age(lookup.now).map_or(0, millis),
+        age_ms: check.freshness.age(check.now).map_or(0, millis),
     });
 }
--- a/components/router/src/borrow.rs
+++ b/components/router/src/borrow.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 
 use clock::Moment;
-use control::{Borrow, Lent};
+use control::{BorrowRequest, BorrowResponse};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
-use quota::{Lenders, PATIENCE, Terms, is_dry, may_ask};
+use quota::{BucketSpec, LENDER_TIMEOUT, Lenders, has_time_for_wave, likely_exhausted};
 use units::WorkspaceName;
 use web::{Body, CallError};
 
@@ -35,7 +35,7 @@
 pub(crate) async fn borrow(
     shared: &Shared,
     workspace: &WorkspaceName,
-    terms: Terms,
+    terms: BucketSpec,
     missing: f64,
     start: Moment,
 ) -> BorrowedTokens {
@@ -46,17 +46,19 @@
     let equal_shares = u32::try_from(routers.len() + 1).unwrap_or(u32::MAX);
     let share = terms.share(quotas.share(Moment::now()).map_or(equal_shares, |share| share.count));
     let mut lenders = Lenders::new(routers, missing, share, rand::random);
-    while borrowed.tokens < missing && may_ask(start.elapsed()) {
+    while borrowed.tokens < missing && has_time_for_wave(start.elapsed()) {
         let wave = lenders.next_wave();
-        if wave.is_empty() || is_dry(borrowed.routers_asked, missing, borrowed.tokens) {
+        if wave.is_empty() || likely_exhausted(borrowed.routers_asked, missing, borrowed.tokens) {
             break;
         }
-        let each = (missing - borrowed.tokens + share.depth) / wave.len() as f64;
+        let each = (missing - borrowed.tokens + share.capacity) / wave.len() as f64;
         borrowed.routers_asked += wave.len();
         let asked = wave.into_iter().map(|router| {
-            let borrow = Borrow { workspace: workspace.clone(), tokens: each };
+            let borrow = BorrowRequest { workspace: workspace.clone(), tokens: each };
             let client = shared.client.clone();
-            async move { (router, control::ask_tokens(&client, router, &borrow, PATIENCE).await) }
+            async move {
+                (router, control::borrow_tokens(&client, router, &borrow, LENDER_TIMEOUT).await)
+            }
         });
         let mut asked: FuturesUnordered<_> = asked.collect();
         // A router that does not answer is not waited for once the others have lent enough.
@@ -66,12 +68,15 @@
             // A router that refuses connections does so at once, and may be about to start.
             quotas.record_answer(router, matches!(answer, Err(CallError::Timeout { .. })));
             match answer {
-                Ok(Lent { tokens }) => borrowed.tokens += tokens.max(0.0),
+                Ok(BorrowResponse { tokens }) => borrowed.tokens += tokens.max(0.0),
                 Err(error) => log::debug!("router: borrowing tokens from {router} failed: {error}"),
             }
         }
     }
-    quotas.record_borrowing(workspace, is_dry(borrowed.routers_asked, missing, borrowed.tokens));
+    quotas.record_borrowing(
+        workspace,
+        likely_exhausted(borrowed.routers_asked, missing, borrowed.tokens),
+    );
     borrowed
 }
 
@@ -80,7 +85,7 @@
     let Ok(bytes) = web::read(request.into_body(), MAX_MESSAGE_BYTES).await else {
         return web::text(StatusCode::BAD_REQUEST, "the message can't be read\n");
     };
-    let borrow: Borrow = match serde_json::from_slice(&bytes) {
+    let borrow: BorrowRequest = match serde_json::from_slice(&bytes) {
         Ok(borrow) => borrow,
         Err(error) => {
             return web::text(
@@ -94,8 +99,8 @@
     let workspace = workspaces.and_then(|workspaces| workspaces.named(&borrow.workspace));
     let limit = workspace.and_then(|workspace| workspace.limit);
     let lent = limit.and_then(|limit| {
-        let terms = Terms::new(limit, shared.quota_bounds());
+        let terms = BucketSpec::new(limit, shared.quota_bounds());
         shared.quotas.lend(&borrow.workspace, terms, borrow.tokens)
     });
-    web::json(StatusCode::OK, &Lent { tokens: lent.unwrap_or(0.0) })
+    web::json(StatusCode::OK, &BorrowResponse { tokens: lent.unwrap_or(0.0) })
 }
--- a/components/router/src/charge.rs
+++ b/components/router/src/charge.rs
@@ -7,7 +7,7 @@
 use clock::Moment;
 use events::{Event, Refusal, emit};
 use http::StatusCode;
-use quota::{TRANSIT, Taken, Terms};
+use quota::{BucketSpec, LOAN_TIMEOUT, TakenTokens};
 use tokio::time::Instant;
 use units::WorkspaceName;
 
@@ -23,7 +23,7 @@
     workspace: WorkspaceName,
     limit: Limit,
     /// Tokens taken from the bucket of this router.
-    own_tokens: Taken,
+    own_tokens: TakenTokens,
     /// When this router got the share that the tokens are of.
     share_since: Moment,
     /// Whether the request is, or may be, at an endpoint.
@@ -33,7 +33,7 @@
 impl Drop for Charge {
     fn drop(&mut self) {
         if !self.spent {
-            let terms = Terms::new(self.limit, self.shared.quota_bounds());
+            let terms = BucketSpec::new(self.limit, self.shared.quota_bounds());
             self.shared.quotas.refund(&self.workspace, terms, self.own_tokens, self.share_since);
         }
     }
@@ -53,7 +53,7 @@
     let quotas = &shared.quotas;
     let cost = f64::from(workspace.unit.cost(tokens));
     let bounds = shared.quota_bounds();
-    let terms = Terms::new(limit, bounds);
+    let terms = BucketSpec::new(limit, bounds);
     let name = &workspace.name;
     quotas.wait_for_roster(deadline).await;
     let start = Moment::now();
@@ -79,7 +79,7 @@
     } else {
         BorrowedTokens::default()
     };
-    if start.elapsed() <= TRANSIT {
+    if start.elapsed() <= LOAN_TIMEOUT {
         let used = if borrowed.tokens >= missing { missing } else { 0.0 };
         quotas.add_borrowed(name, terms, borrowed.tokens - used);
         if used > 0.0 {
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -3,17 +3,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admission::{Outlook, outlook};
+use admission::{Admission, admit};
 use catalog::{Engine, ModelId};
 use fleet::Tier;
-use placement::{Candidate, Holders, Served, Source};
+use placement::{Candidate, ChosenEndpoint, LoadSource, ReplicaStatus};
 use tokio::time::Instant;
 use units::{EndpointId, ServiceName};
 
-use crate::endpoint::Peer;
-use crate::known::{NOBODY, Peers};
-use crate::peer::{self, Wish};
+use crate::endpoint::TrackedEndpoint;
+use crate::loader_task::{self, LoadRequest};
 use crate::probe;
+use crate::registry::{EndpointTable, NO_WAITING_REQUESTS};
 use crate::reservation::{Reservation, WaitingRequest};
 use crate::shared::Shared;
 
@@ -54,8 +54,9 @@
 
 impl RequestNeeds<'_> {
     /// How long an idle endpoint takes to process the prompt.
-    fn prefill_time(&self, table: &mut Peers) -> Duration {
-        self.model.map_or(Duration::ZERO, |id| table.demand(&id.model).work(self.prompt_tokens))
+    fn prefill_time(&self, table: &mut EndpointTable) -> Duration {
+        self.model
+            .map_or(Duration::ZERO, |id| table.demand(&id.model).prefill_time(self.prompt_tokens))
     }
 }
 
@@ -99,12 +100,12 @@
 ) -> Result<Reservation, ReserveError> {
     if let Some(model) = needs.model {
         let now = Instant::now();
-        shared.known.lock().demand(&model.model).arrived(needs.prompt_tokens, now);
+        shared.known.lock().demand(&model.model).record_arrival(needs.prompt_tokens, now);
     }
     let mut waiting = None;
     loop {
         let changed = shared.known.changed.notified();
-        let left = needs.deadline.saturating_duration_since(Instant::now());
+        let time_left = needs.deadline.saturating_duration_since(Instant::now());
         match search(shared, &needs) {
             SearchResult::Reserved(mut reservation) => {
                 reservation.waited_for_load = waiting.is_some();
@@ -117,24 +118,30 @@
             SearchResult::Load(loads) => {
                 let Some(first) = loads.first() else { continue };
                 waiting.get_or_insert_with(|| WaitingRequest::new(shared, &first.target));
-                let outlook = outlook(left, first.duration);
+                let admission = admit(time_left, first.duration);
                 // The model is loaded even if the request is refused: its caller is told to come
                 // back for it.
-                let will_wait = outlook == Outlook::Wait;
+                let will_wait = admission == Admission::Wait;
                 for PlannedLoad { id, target, duration, from_store } in &loads {
-                    let (expect, cold) = (*duration, *from_store);
-                    let within = if will_wait { left } else { expect + CALLER_RETURN_TIME };
+                    let (duration, from_store) = (*duration, *from_store);
+                    let within = if will_wait { time_left } else { duration + CALLER_RETURN_TIME };
                     // A loader that may not evict other models still loads the model if there is
                     // room for it.
-                    let urgent = shared.known.lock().may_urge(&target.model, id, loads.len());
-                    peer::want(shared, id, target, Wish { urgent, within, expect, cold });
+                    let urgent =
+                        shared.known.lock().may_request_room(&target.model, id, loads.len());
+                    loader_task::request_load(
+                        shared,
+                        id,
+                        target,
+                        LoadRequest { urgent, within, expect: duration, cold: from_store },
+                    );
                 }
-                if let Outlook::Refuse(after) = outlook {
+                if let Admission::Refuse(after) = admission {
                     return Err(ReserveError::LoadTooSlow(after));
                 }
             }
-            SearchResult::Wait(expect) => {
-                if let Outlook::Refuse(after) = outlook(left, expect) {
+            SearchResult::Wait(duration) => {
+                if let Admission::Refuse(after) = admit(time_left, duration) {
                     return Err(ReserveError::LoadTooSlow(after));
                 }
             }
@@ -153,110 +160,132 @@
         if tracked.endpoint.service != *needs.service {
             continue;
         }
-        any_left |= tracked.stays() && !needs.excluded.contains(id);
+        any_left |= tracked.accepts_work() && !needs.excluded.contains(id);
         if !tracked.usable(now) {
-            if tracked.doubtful(now) {
+            if tracked.needs_probe(now) {
                 probe::start(shared, id, &table);
             }
             continue;
         }
-        if needs.excluded.contains(id) || needs.isolated && tracked.pool.runs().apart > 0 {
+        if needs.excluded.contains(id)
+            || needs.isolated && tracked.pool.sent_requests().isolated > 0
+        {
             continue;
         }
         let refused = |model: &ModelId| {
-            let until = |id: &ModelId| tracked.refused.get(id).is_some_and(|until| *until > now);
+            let until =
+                |id: &ModelId| tracked.refused_until.get(id).is_some_and(|until| *until > now);
             until(model) || until(&ModelId { model: model.model.clone(), adapter: None })
         };
         ids.push(id.clone());
-        candidates
-            .push(tracked.candidate(tracked.able(now) && !needs.model.is_some_and(refused), now));
+        candidates.push(
+            tracked.candidate(tracked.can_load(now) && !needs.model.is_some_and(refused), now),
+        );
     }
-    if let Some(left) = table.back(needs.service, needs.excluded, now) {
+    if let Some(left) = table.service_backoff(needs.service, needs.excluded, now) {
         return SearchResult::Paused(left);
     }
     if !any_left {
         // Every endpoint has refused the request, or there is none: there is nothing to wait for.
         return SearchResult::NoEndpoint;
     }
-    if let Some(served) = placement::serve(&candidates, needs.model, prefill_time, &shared.domain) {
-        if let Some(left) = faster_loading_replica(&candidates, needs, served) {
+    if let Some(chosen) =
+        placement::choose_endpoint(&candidates, needs.model, prefill_time, &shared.domain)
+    {
+        if let Some(left) = faster_loading_replica(&candidates, needs, chosen) {
             return SearchResult::Wait(left);
         }
         let prefills =
-            table.map.get(&ids[served.index]).map_or(0, |tracked| tracked.ahead.prompts());
-        if table.pausing()
+            table.map.get(&ids[chosen.index]).map_or(0, |tracked| tracked.backlog.prompts());
+        if table.serialize_prompts()
             && prefills >= MAX_CONCURRENT_PREFILLS
             && now - needs.search_start < needs.first_event_target / PREFILL_HOLD_DIVISOR
         {
             return SearchResult::Wait(Duration::ZERO);
         }
-        let extra_load = plan_extra_load(&table, &candidates, needs, served);
-        let id = ids.swap_remove(served.index);
+        let extra_load = plan_extra_load(&table, &candidates, needs, chosen);
+        let id = ids.swap_remove(chosen.index);
         drop(candidates);
-        if needs.model.is_some() && table.map.get(&id).is_some_and(|tracked| tracked.doubtful(now))
+        if needs.model.is_some()
+            && table.map.get(&id).is_some_and(|tracked| tracked.needs_probe(now))
         {
             probe::start(shared, &id, &table);
             return SearchResult::Wait(Duration::ZERO);
         }
-        let times = (prefill_time, served.expect);
+        let times = (prefill_time, chosen.first_event);
         let reservation =
             Reservation::new(shared, &mut table, id, needs.model, times, needs.isolated, now);
         drop(table);
-        if let Some(PlannedLoad { id, target, duration: expect, from_store: cold }) = extra_load {
-            let wish = Wish { urgent: true, within: expect + CALLER_RETURN_TIME, expect, cold };
-            peer::want(shared, &id, &target, wish);
+        if let Some(PlannedLoad { id, target, duration, from_store }) = extra_load {
+            let wish = LoadRequest {
+                urgent: true,
+                within: duration + CALLER_RETURN_TIME,
+                expect: duration,
+                cold: from_store,
+            };
+            loader_task::request_load(shared, &id, &target, wish);
         }
         return reservation.map_or(SearchResult::NoEndpoint, SearchResult::Reserved);
     }
     let (Some(model), Some(engine)) = (needs.model, needs.engine) else {
         return SearchResult::Wait(Duration::ZERO);
     };
-    let memory_scarce = placement::tight(&candidates);
+    let memory_scarce = placement::memory_scarce(&candidates);
     let count = table.waiting.get(&model.model).copied().unwrap_or(0);
-    let max_loads =
-        table.holders(&model.model, engine.slots, (count, prefill_time * count), memory_scarce);
+    let max_loads = table.replicas_needed(
+        &model.model,
+        engine.slots,
+        (count, prefill_time * count),
+        memory_scarce,
+    );
     // A load from the weight store is requested at one endpoint only, also while its loader waits
     // for a load permit.
-    let has_copy = placement::copied(&candidates, &model.model);
-    let asked = table.asked_cold(&model.model).filter(|_| !has_copy);
-    let asked = asked.and_then(|id| ids.iter().position(|one| one == id));
-    let (first, list) = match asked {
+    let has_copy = placement::has_copy(&candidates, &model.model);
+    let requested = table.pending_cold_load(&model.model).filter(|_| !has_copy);
+    let requested = requested.and_then(|id| ids.iter().position(|one| one == id));
+    let (first, list) = match requested {
         Some(index) => (index, &candidates[index..=index]),
         None => (0, &candidates[..]),
     };
-    let loads: Vec<PlannedLoad> =
-        placement::wakes(list, model, engine, Source::First, max_loads as usize)
-            .into_iter()
-            .map(|wake| {
-                // The base model is loaded first; all of its adapters wait for the same load.
-                let adapter = model.adapter.clone().filter(|_| wake.tier == Tier::Adapter);
-                let target = ModelId { model: model.model.clone(), adapter };
-                let from_store = wake.tier == Tier::Store;
-                PlannedLoad {
-                    id: ids[first + wake.index].clone(),
-                    target,
-                    duration: wake.expect,
-                    from_store,
-                }
-            })
-            .collect();
+    let loads: Vec<PlannedLoad> = placement::choose_load_targets(
+        list,
+        model,
+        engine,
+        LoadSource::CopiesOrStore,
+        max_loads as usize,
+    )
+    .into_iter()
+    .map(|load_target| {
+        // The base model is loaded first; all of its adapters wait for the same load.
+        let adapter = model.adapter.clone().filter(|_| load_target.tier == Tier::Adapter);
+        let target = ModelId { model: model.model.clone(), adapter };
+        let from_store = load_target.tier == Tier::Store;
+        PlannedLoad {
+            id: ids[first + load_target.index].clone(),
+            target,
+            duration: load_target.ready_in,
+            from_store,
+        }
+    })
+    .collect();
     if let Some(first) = loads.first() {
         // Wait for a replica that accepts requests again before a new replica would be ready.
-        let ready_in = table.holder_back(&model.model, now).filter(|left| *left <= first.duration);
+        let ready_in =
+            table.replica_backoff(&model.model, now).filter(|left| *left <= first.duration);
         if let Some(left) = ready_in {
             return SearchResult::Wait(left);
         }
         return SearchResult::Load(loads);
     }
     // No loader can be asked now.
-    let cold = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.cold);
-    SearchResult::Wait(if has_copy { Duration::ZERO } else { cold })
+    let store_load = engine.model(&model.model).map_or(Duration::ZERO, |spec| spec.store_load);
+    SearchResult::Wait(if has_copy { Duration::ZERO } else { store_load })
 }
 
 /// If all endpoints that may serve a request have asked for a pause: the time until the first of
 /// these pauses ends.
 pub(crate) fn retry_after(shared: &Arc<Shared>, needs: &RequestNeeds<'_>) -> Option<Duration> {
-    shared.known.lock().back(needs.service, needs.excluded, Instant::now())
+    shared.known.lock().service_backoff(needs.service, needs.excluded, Instant::now())
 }
 
 /// Whether an endpoint that is not in `needs.excluded` is expected to send the first event within
@@ -269,7 +298,7 @@
     let now = Instant::now();
     let mut table = shared.known.lock();
     let prefill_time = needs.prefill_time(&mut table);
-    let usable = |tracked: &&Peer| {
+    let usable = |tracked: &&TrackedEndpoint| {
         let id = &tracked.endpoint.id;
         tracked.endpoint.service == *needs.service
             && tracked.usable(now)
@@ -277,8 +306,8 @@
     };
     let candidates: Vec<_> =
         table.map.values().filter(usable).map(|tracked| tracked.candidate(false, now)).collect();
-    placement::serve(&candidates, needs.model, prefill_time, &shared.domain)
-        .is_some_and(|served| served.expect < within)
+    placement::choose_endpoint(&candidates, needs.model, prefill_time, &shared.domain)
+        .is_some_and(|chosen| chosen.first_event < within)
 }
 
 /// The time until another replica is loaded, if the request would miss its target at the present
@@ -286,38 +315,44 @@
 fn faster_loading_replica(
     candidates: &[Candidate<'_>],
     needs: &RequestNeeds<'_>,
-    served: Served,
+    chosen: ChosenEndpoint,
 ) -> Option<Duration> {
     let model = &needs.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
-    let left = loads.filter(|load| load.model == *model).map(|load| load.left).min()?;
-    (served.expect > needs.first_event_target && left < served.expect / 2).then_some(left)
+    let left = loads.filter(|load| load.model == *model).map(|load| load.remaining).min()?;
+    (chosen.first_event > needs.first_event_target && left < chosen.first_event / 2).then_some(left)
 }
 
 /// A further endpoint on which to load the model of a request, if the replicas are too few or too
 /// slow.
 fn plan_extra_load(
-    table: &Peers,
+    table: &EndpointTable,
     candidates: &[Candidate<'_>],
     needs: &RequestNeeds<'_>,
-    served: Served,
+    chosen: ChosenEndpoint,
 ) -> Option<PlannedLoad> {
     let (model, engine) = needs.model.zip(needs.engine)?;
     let base = ModelId { model: model.model.clone(), adapter: None };
-    let was_asked = |one: &Candidate<'_>| {
-        table.map.get(&one.endpoint.id).is_some_and(|tracked| tracked.wakes.contains_key(&base))
+    let was_requested = |one: &Candidate<'_>| {
+        table
+            .map
+            .get(&one.endpoint.id)
+            .is_some_and(|tracked| tracked.open_loads.contains_key(&base))
     };
-    let asked: Vec<bool> = candidates.iter().map(was_asked).collect();
-    let memory_scarce = placement::tight(candidates);
-    let needed = table.holders(&base.model, engine.slots, NOBODY, memory_scarce) as usize;
+    let requested: Vec<bool> = candidates.iter().map(was_requested).collect();
+    let memory_scarce = placement::memory_scarce(candidates);
+    let needed =
+        table.replicas_needed(&base.model, engine.slots, NO_WAITING_REQUESTS, memory_scarce)
+            as usize;
     let target = needs.first_event_target;
-    let holders = Holders { model: &base, asked: &asked, needed, served, target };
-    let wake = placement::spread(candidates, engine, &holders)?;
-    let id = candidates[wake.index].endpoint.id.clone();
+    let replicas =
+        ReplicaStatus { model: &base, asked: &requested, needed, served: chosen, target };
+    let load_target = placement::scale_out(candidates, engine, &replicas)?;
+    let id = candidates[load_target.index].endpoint.id.clone();
     Some(PlannedLoad {
         id,
         target: base,
-        duration: wake.expect,
-        from_store: wake.tier == Tier::Store,
+        duration: load_target.ready_in,
+        from_store: load_target.tier == Tier::Store,
     })
 }
--- a/components/router/src/cold.rs
+++ b/components/router/src/cold.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use admission::{Beside, Lanes};
+use admission::{ConcurrentLoads, LoadConcurrency};
 use catalog::Engine;
 use fleet::Holdings;
 use tokio::time::Instant;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ColdLoad {
     start: Instant,
-    concurrent: Beside,
+    concurrent: ConcurrentLoads,
 }
 
 /// All loads from the weight store that this router knows of.
@@ -28,7 +28,7 @@
 pub(crate) struct ColdLoads {
     running: HashMap<(EndpointId, ModelName), ColdLoad>,
     requested: HashMap<(EndpointId, ModelName), Instant>,
-    concurrency: Lanes,
+    concurrency: LoadConcurrency,
 }
 
 impl ColdLoads {
@@ -54,19 +54,19 @@
             let Some(load) = self.running.remove(&key) else { continue };
             let spec = engine.and_then(|engine| engine.model(&key.1));
             if let Some(spec) = spec.filter(|_| holdings.holds(&key.1)) {
-                self.concurrency.learn(now - load.start, spec.cold, load.concurrent);
+                self.concurrency.learn(now - load.start, spec.store_load, load.concurrent);
             }
         }
         if let Some(loading) = current {
             let key = (id.clone(), loading.model.clone());
             self.requested.remove(&key);
             let count = u32::try_from(self.running.len() + 1).unwrap_or(u32::MAX);
-            let load = ColdLoad { start: now, concurrent: Beside::all(count) };
+            let load = ColdLoad { start: now, concurrent: ConcurrentLoads::steady(count) };
             self.running.entry(key).or_insert(load);
         }
         let count = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         for load in self.running.values_mut() {
-            load.concurrent.see(count);
+            load.concurrent.record(count);
         }
     }
 
@@ -94,11 +94,11 @@
     pub(crate) fn available_permits(&self, now: Instant) -> usize {
         let requested =
             self.requested.values().filter(|at| now - **at < LOAD_REPORT_TIMEOUT).count();
-        (self.concurrency.count() as usize).saturating_sub(self.running.len() + requested)
+        (self.concurrency.limit() as usize).saturating_sub(self.running.len() + requested)
     }
 
     /// How many loads from the weight store may run at once.
     pub(crate) fn permit_limit(&self) -> usize {
-        self.concurrency.count() as usize
+        self.concurrency.limit() as usize
     }
 }
--- a/components/router/src/exchange.rs
+++ b/components/router/src/exchange.rs
@@ -8,13 +8,13 @@
 use http::{Method, Request, Response, Uri, response};
 use hyper::body::Incoming;
 use hyper::client::conn::TrySendError;
-use platform::Sending;
+use platform::ForwardOptions;
 use quarantine::Digest;
 use tokio::time::Instant;
 use web::Body;
 
 use crate::caller::CallerConnection;
-use crate::pool::Link;
+use crate::pool::Connection;
 use crate::reservation::Reservation;
 
 /// Idle time after which a connection is closed if the server states none.
@@ -27,7 +27,7 @@
 pub(crate) struct EndpointResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) connection: Link,
+    pub(crate) connection: Connection,
     pub(crate) reservation: Reservation,
 }
 
@@ -88,7 +88,7 @@
     mut reservation: Reservation,
     caller: &CallerConnection,
     outgoing: &OutgoingRequest,
-    sending: &Sending<'_>,
+    sending: &ForwardOptions<'_>,
     deadlines: ResponseDeadlines,
     should_leave: impl Fn() -> bool,
 ) -> SendOutcome {
@@ -163,7 +163,7 @@
 }
 
 async fn attempt(
-    connection: &mut Link,
+    connection: &mut Connection,
     request: Request<Body>,
     deadlines: ResponseDeadlines,
     should_leave: impl Fn() -> bool,
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -7,15 +7,15 @@
 use catalog::Catalog;
 use clock::Moment;
 use events::{Dependency, Event, emit, millis};
-use fleet::Change;
-use platform::{Batch, Follower, News, Store, StoreError, Topic};
+use fleet::EndpointChange;
+use platform::{Batch, Follower, Store, StoreError, Topic, Update};
 use tokio::time::Instant;
 use units::{Revision, Span};
 
 use crate::access::MIN_READ_INTERVAL;
-use crate::list::{LAPSE, Listed};
+use crate::list::{LAPSED_ENTRY_GRACE, ListUpdate};
 use crate::shared::{Feed, Shared};
-use crate::{missing, peer};
+use crate::{loader_task, missing};
 
 /// The part of a bound that a read of the store waits for a change, pauses between reads included. A read is answered
 /// as soon as there is a change, but not always: one that begins while a record is written may be answered only when
@@ -55,7 +55,7 @@
     }
 
     fn reached(&mut self) {
-        events::reached(self.dependency);
+        events::record_reached(self.dependency);
         self.pause = RETRY;
         let Some(since) = self.away.take() else { return };
         self.returned = Some(Instant::now());
@@ -84,7 +84,7 @@
 /// client's patience, and the next one still has to bring the news within `bound`.
 fn longest(shared: &Shared, bound: Span) -> Duration {
     let longest = if shared.unreachable_since().is_some() { LONGEST_FIRST } else { LONGEST };
-    longest.min(wait(bound, platform::PATIENCE))
+    longest.min(wait(bound, platform::STORE_TIMEOUT))
 }
 
 /// The part of `bound` that a read may wait, if reads begin `pace` apart.
@@ -93,7 +93,7 @@
 }
 
 /// Follows the configuration for as long as the process runs.
-pub(crate) async fn config(shared: Arc<Shared>, store: Store) {
+pub(crate) async fn follow_config(shared: Arc<Shared>, store: Store) {
     let mut follower = Follower::new(store, Topic::Config);
     let mut contact = Contact::new(Dependency::Configuration);
     let mut newest = None;
@@ -155,21 +155,21 @@
 /// `newest` is the version of the newest record, as far as that can be read.
 fn take_config(shared: &Shared, batch: Batch, newest: &mut Option<Revision>) -> bool {
     let mut fresh = false;
-    if batch.whole {
+    if batch.complete {
         // A store that has come back from a copy may have none.
         *newest = None;
     }
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Config(catalog) => {
+            Update::Config(catalog) => {
                 *newest = Some(catalog.version);
                 fresh |= adopt(shared, catalog);
             }
-            News::Unreadable(cause) => {
+            Update::InvalidConfig(cause) => {
                 *newest = None;
                 emit(&Event::Unreadable { dependency: Dependency::Configuration, cause: &cause });
             }
-            News::Member(_) | News::Foreign(..) | News::Own(..) => {}
+            Update::Endpoint(_) | Update::InvalidEndpoint(..) | Update::Record(..) => {}
         }
     }
     fresh
@@ -196,13 +196,13 @@
 }
 
 /// Follows the list of endpoints for as long as the process runs.
-pub(crate) async fn members(shared: Arc<Shared>, store: Store) {
-    let mut follower = Follower::new(store, Topic::Servers);
+pub(crate) async fn follow_members(shared: Arc<Shared>, store: Store) {
+    let mut follower = Follower::new(store, Topic::Endpoints);
     let mut contact = Contact::new(Dependency::Membership);
     let mut foreign = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
-        follower.skip(shared.known.lock().read);
+        follower.skip_to(shared.known.lock().list_position);
         match follower.next(contact.wait(bounds.drain, LIST_PACE)).await {
             Ok(batch) => {
                 contact.reached();
@@ -210,12 +210,12 @@
                     // What servers wrote since the copy was made, they write again.
                     contact.returned = Some(Instant::now());
                     let (before, read) =
-                        (shared.known.lock().read.to_string(), batch.read.to_string());
+                        (shared.known.lock().list_position.to_string(), batch.position.to_string());
                     let (before, read) = (before.as_str(), read.as_str());
                     emit(&Event::Restored { dependency: Dependency::Membership, before, read });
                 }
-                let until = contact.returned.map(|returned| returned + LAPSE);
-                let more = batch.more;
+                let until = contact.returned.map(|returned| returned + LAPSED_ENTRY_GRACE);
+                let more = batch.has_more;
                 take_members(&shared, batch, until, &mut foreign);
                 shared.record_store_read(Feed::Membership, true);
                 // What is left of a long absence is not put off.
@@ -238,26 +238,26 @@
     foreign: &mut BTreeSet<String>,
 ) {
     let mut changes = Vec::new();
-    for news in batch.news {
+    for news in batch.updates {
         match news {
-            News::Member(change) => {
-                if let Change::Seen(endpoint) = &change {
+            Update::Endpoint(change) => {
+                if let EndpointChange::Listed(endpoint) = &change {
                     foreign.remove(endpoint.id.as_str());
                 }
                 changes.push(change);
             }
-            News::Foreign(key, cause) => {
+            Update::InvalidEndpoint(key, cause) => {
                 // It may stand where an endpoint was.
-                changes.extend(key.parse().map(Change::Gone));
+                changes.extend(key.parse().map(EndpointChange::Removed));
                 if foreign.len() < FOREIGN && foreign.insert(key) {
                     emit(&Event::Unreadable { dependency: Dependency::Membership, cause: &cause });
                 }
             }
-            News::Config(_) | News::Unreadable(_) | News::Own(..) => {}
+            Update::Config(_) | Update::InvalidConfig(_) | Update::Record(..) => {}
         }
     }
-    let news = Listed { changes, whole: batch.whole, read: batch.read };
-    let missing = shared.known.apply(news, until);
+    let news = ListUpdate { changes, whole: batch.complete, read: batch.position };
+    let missing = shared.known.apply_list(news, until);
     missing::ask(shared, missing);
-    peer::follow_new(shared);
+    loader_task::start_new(shared);
 }
--- a/components/router/src/in_flight.rs
+++ b/components/router/src/in_flight.rs
@@ -6,19 +6,19 @@
 use catalog::{Catalog, Route};
 use events::{Event, Refusal, Step, emit, millis};
 use http::StatusCode;
-use platform::{Call, Reply, Sending};
+use platform::{ForwardOptions, RequestHeaders, ResponseKind};
 use tokio::time::Instant;
-use units::{EndpointId, Life, ServiceName};
+use units::{EndpointId, EndpointIncarnation, ServiceName};
 
 use crate::access::{self, Identity};
 use crate::caller::CallerConnection;
 use crate::charge::Charge;
 use crate::choose::{self, RequestNeeds, ReserveError};
-use crate::ended;
+use crate::crash_check;
+use crate::crash_records;
 use crate::exchange::{self, EndpointResponse, OutgoingRequest, ResponseDeadlines, SendOutcome};
-use crate::guard::{Barred, Pass};
-use crate::ledger;
-use crate::pool::Pool;
+use crate::guard::{Rejection, SendPermit};
+use crate::pool::ConnectionPool;
 use crate::reservation::Reservation;
 use crate::shared::Shared;
 
@@ -51,7 +51,7 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
-    pub(crate) call: Call,
+    pub(crate) call: RequestHeaders,
     pub(crate) request_id: String,
     pub(crate) class: String,
     pub(crate) outgoing: OutgoingRequest,
@@ -61,19 +61,19 @@
     pub(crate) send_by: Instant,
     pub(crate) excluded: Vec<EndpointId>,
     /// The incarnation of the endpoint that the request was last sent to.
-    pub(crate) incarnation: Option<Life>,
+    pub(crate) incarnation: Option<EndpointIncarnation>,
     /// How often the request was sent.
     pub(crate) sends: u32,
     /// How often the request may have run.
     pub(crate) runs: u32,
     /// The connections to the incarnation that the request was last sent to.
-    pub(crate) pool: Option<Arc<Pool>>,
+    pub(crate) pool: Option<Arc<ConnectionPool>>,
     /// The workspace that the caller's key belongs to, if any.
     pub(crate) identity: Identity,
     /// The tokens that the request takes from the quota of its workspace.
     pub(crate) charge: Option<Charge>,
     /// The permit of the crash guard to send the request.
-    pub(crate) permit: Option<Pass>,
+    pub(crate) permit: Option<SendPermit>,
 }
 
 impl InFlightRequest {
@@ -106,9 +106,9 @@
             self.sends += 1;
             self.set_spent(true);
             let now = Instant::now();
-            let sending = Sending {
+            let sending = ForwardOptions {
                 endpoint: &id,
-                left: self.deadline.saturating_duration_since(now),
+                time_left: self.deadline.saturating_duration_since(now),
                 priority: self.priority(),
                 last_event,
                 workspace: self.identity.workspace().map(|workspace| &workspace.name),
@@ -145,7 +145,7 @@
                 SendOutcome::NotSent(cause) => {
                     self.set_spent(false);
                     self.log_step(Step::Broken, &id, &cause);
-                    self.shared.known.failed(&id, self.incarnation, &cause);
+                    self.shared.known.record_failure(&id, self.incarnation, &cause);
                     if self.sends >= MAX_SENDS {
                         return Err(self.failure(Refusal::NoEndpoint, None));
                     }
@@ -168,30 +168,32 @@
     async fn acquire_permit(&mut self) -> Result<(), Failure> {
         let digest = self.outgoing.digest;
         let held = self.permit.take();
-        let barred = match self.shared.guard.enter(&digest, held, self.send_by).await {
+        let rejection = match self.shared.guard.acquire(&digest, held, self.send_by).await {
             Ok(permit) => {
                 self.permit = Some(permit);
                 return Ok(());
             }
-            Err(barred) => barred,
+            Err(rejection) => rejection,
         };
         let mut trial = None;
-        if let Barred::Due(number) = barred {
-            trial = ledger::claim(&self.shared, &digest, number).await;
+        if let Rejection::TrialDue(number) = rejection {
+            trial = crash_records::claim_trial(&self.shared, &digest, number).await;
         }
-        if barred != Barred::Busy {
+        if rejection != Rejection::Busy {
             emit(&Event::Barred {
                 request: &self.request_id,
                 digest: &digest.to_string(),
                 tried: trial.is_some(),
-                ends: &self.shared.guard.ends(&digest),
+                ends: &self.shared.guard.evidence_text(&digest),
             });
         }
         self.permit = trial;
-        match (&self.permit, barred) {
+        match (&self.permit, rejection) {
             (Some(_), _) => Ok(()),
-            (None, Barred::Busy) => Err(self.failure(Refusal::TimedOut, Some(WAIT_RETRY_AFTER))),
-            (None, Barred::Suspect | Barred::Due(_)) => Err(self.failure(Refusal::Crashes, None)),
+            (None, Rejection::Busy) => Err(self.failure(Refusal::TimedOut, Some(WAIT_RETRY_AFTER))),
+            (None, Rejection::Suspect | Rejection::TrialDue(_)) => {
+                Err(self.failure(Refusal::Crashes, None))
+            }
         }
     }
 
@@ -217,7 +219,7 @@
 
     /// Clears the request of suspicion, because its endpoint survived it.
     pub(crate) fn clear_suspicion(&self) {
-        self.shared.guard.clear(&self.outgoing.digest);
+        self.shared.guard.record_completion(&self.outgoing.digest);
     }
 
     fn needs<'a>(&'a self, excluded: &'a [EndpointId]) -> RequestNeeds<'a> {
@@ -231,7 +233,7 @@
             deadline: self.send_by,
             search_start: Instant::now(),
             excluded,
-            isolated: self.permit.as_ref().is_some_and(|permit| permit.apart),
+            isolated: self.permit.as_ref().is_some_and(|permit| permit.isolated),
         }
     }
 
@@ -241,7 +243,7 @@
         let reserved = tokio::select! {
             reserved = tokio::time::timeout_at(
                 self.send_by,
-                choose::reserve(&self.shared, needs),
+                choose::reserve(&self.shared, needs)
             ) => reserved,
             // A request that is still waiting could not be finished before the process ends.
             _ = closing.wait_for(|closing| *closing) => {
@@ -283,7 +285,7 @@
     pub(crate) fn leave(&mut self, id: &EndpointId, cause: &str) {
         self.log_step(Step::Broken, id, cause);
         if self.call.model.is_none() {
-            self.shared.known.failed(id, self.incarnation, cause);
+            self.shared.known.record_failure(id, self.incarnation, cause);
         }
         self.excluded.push(id.clone());
     }
@@ -297,9 +299,9 @@
 
     async fn classify(&mut self, mut response: EndpointResponse, id: &EndpointId) -> Verdict {
         let status = response.head.status;
-        match platform::read_reply(&self.call.id, status, &response.head.headers) {
-            Reply::Ran => {
-                self.shared.known.worked(id, self.incarnation);
+        match platform::classify_response(&self.call.id, status, &response.head.headers) {
+            ResponseKind::Executed => {
+                self.shared.known.record_success(id, self.incarnation);
                 self.runs += 1;
                 let again = self.route.kind == catalog::CallKind::Safe
                     && status.is_server_error()
@@ -312,20 +314,22 @@
                 self.excluded.push(id.clone());
                 Verdict::Retry
             }
-            Reply::NotRun => {
+            ResponseKind::NotExecuted => {
                 self.log_step(Step::NotRun, id, status.as_str());
                 response.reservation.clear_suspicion();
                 drop(response);
                 self.not_executed(id).await
             }
-            Reply::Misdirected => {
+            ResponseKind::Misdirected => {
                 self.log_step(Step::NotRun, id, status.as_str());
                 let other = platform::instance_of(&response.head.headers).is_some_and(|o| o != *id);
                 response.reservation.clear_suspicion();
                 drop(response);
                 match &self.call.model {
-                    Some(model) if !other => self.shared.known.missing(id, self.incarnation, model),
-                    _ => self.shared.known.failed(
+                    Some(model) if !other => {
+                        self.shared.known.record_missing_model(id, self.incarnation, model)
+                    }
+                    _ => self.shared.known.record_failure(
                         id,
                         self.incarnation,
                         "another endpoint has its address",
@@ -333,7 +337,7 @@
                 }
                 self.not_executed(id).await
             }
-            Reply::Foreign => {
+            ResponseKind::Untrusted => {
                 drop(response);
                 match self.interrupted(id, "the response belongs to another request") {
                     Ok(()) => Verdict::Retry,
@@ -362,9 +366,9 @@
     pub(crate) fn interrupted(&mut self, id: &EndpointId, cause: &str) -> Result<(), Failure> {
         self.runs += 1;
         self.log_step(Step::Broken, id, cause);
-        self.shared.known.failed(id, self.incarnation, cause);
+        self.shared.known.record_failure(id, self.incarnation, cause);
         if let Some(pool) = &self.pool {
-            ended::examine(&self.shared, id, self.incarnation, pool);
+            crash_check::start(&self.shared, id, self.incarnation, pool);
         }
         self.excluded.push(id.clone());
         let again = self.route.kind.repeatable()
--- a/components/router/src/prefetch.rs
+++ b/components/router/src/prefetch.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use placement::{Candidate, Free};
+use placement::{Candidate, PrefetchCapacity};
 use tokio::time::Instant;
 use units::{EndpointId, ModelName, ServiceName};
 
-use crate::peer::{self, Wish};
+use crate::loader_task::{self, LoadRequest};
 use crate::shared::Shared;
 
 /// Interval between two searches for models to prefetch.
@@ -24,14 +24,14 @@
         for service in catalog.services() {
             let Some(engine) = &service.engine else { continue };
             for (model, id) in plan_loads(&shared, &service.name, engine) {
-                let expect = engine.model(&model).map_or(Duration::ZERO, |spec| spec.cold);
-                let wish = Wish {
+                let duration = engine.model(&model).map_or(Duration::ZERO, |spec| spec.store_load);
+                let wish = LoadRequest {
                     urgent: false,
-                    within: expect * LOAD_TIMEOUT_FACTOR,
-                    expect,
+                    within: duration * LOAD_TIMEOUT_FACTOR,
+                    expect: duration,
                     cold: true,
                 };
-                peer::want(&shared, &id, &ModelId { model, adapter: None }, wish);
+                loader_task::request_load(&shared, &id, &ModelId { model, adapter: None }, wish);
             }
         }
     }
@@ -46,26 +46,33 @@
     let table = shared.known.lock();
     let endpoints: Vec<_> =
         table.map.values().filter(|tracked| tracked.endpoint.service == *service).collect();
-    let accepting = endpoints.iter().filter(|tracked| tracked.stays());
+    let accepting = endpoints.iter().filter(|tracked| tracked.accepts_work());
     // Before any loader has reported, existing copies may seem to be missing.
-    if !table.listed || !accepting.clone().any(|tracked| tracked.state.is_some()) {
+    if !table.list_loaded || !accepting.clone().any(|tracked| tracked.state.is_some()) {
         return Vec::new();
     }
     let candidates: Vec<Candidate<'_>> = accepting
         .map(|tracked| {
-            let able = tracked.able(now) && tracked.usable(now) && !refused_recently(tracked, now);
+            let able =
+                tracked.can_load(now) && tracked.usable(now) && !refused_recently(tracked, now);
             tracked.candidate(able, now)
         })
         .collect();
-    let free = Free { lanes: table.cold.available_permits(now), all: table.cold.permit_limit() };
-    let asked =
-        table.map.values().flat_map(|tracked| tracked.wakes.keys().map(|id| &id.model)).collect();
-    let demand = |model: &ModelName| table.wanted(model, now);
-    let planned = placement::prepare(&candidates, engine, free, &asked, demand);
+    let free = PrefetchCapacity {
+        free: table.cold.available_permits(now),
+        total: table.cold.permit_limit(),
+    };
+    let requested = table
+        .map
+        .values()
+        .flat_map(|tracked| tracked.open_loads.keys().map(|id| &id.model))
+        .collect();
+    let demand = |model: &ModelName| table.request_rate(model, now);
+    let planned = placement::plan_prefetch(&candidates, engine, free, &requested, demand);
     planned.into_iter().map(|(name, i)| (name, candidates[i].endpoint.id.clone())).collect()
 }
 
 /// Whether the loader of an endpoint has recently refused a model: there is no room.
-fn refused_recently(tracked: &crate::endpoint::Peer, now: Instant) -> bool {
-    tracked.refused.values().any(|until| *until > now)
+fn refused_recently(tracked: &crate::endpoint::TrackedEndpoint, now: Instant) -> bool {
+    tracked.refused_until.values().any(|until| *until > now)
 }
--- a/components/router/src/quotas.rs
+++ b/components/router/src/quotas.rs
@@ -10,7 +10,9 @@
 use clock::Moment;
 use control::{WorkspaceReport, WorkspacesReport};
 use events::{Event, emit, millis};
-use quota::{Bucket, Meter, Record, Roster, Share, Taken, Terms, Write, lendable};
+use quota::{
+    Bucket, BucketSpec, Meter, Roster, RosterWrite, RouterRecord, Share, TakenTokens, lendable,
+};
 use tokio::sync::watch;
 use tokio::time::Instant;
 use units::{Domain, WorkspaceName};
@@ -92,7 +94,7 @@
     /// the read contains all records.
     pub(crate) fn apply_roster_read(
         &self,
-        updates: Vec<(SocketAddr, Option<Record>)>,
+        updates: Vec<(SocketAddr, Option<RouterRecord>)>,
         complete: bool,
         sent: Moment,
     ) {
@@ -100,7 +102,7 @@
         let mut roster = self.roster();
         let count = |roster: &Roster| roster.share(now).map_or(0, |share| share.count);
         let before = count(&roster);
-        roster.take(updates, complete, sent, now);
+        roster.apply_read(updates, complete, sent, now);
         self.roster_read.send_replace(true);
         let shares = count(&roster);
         if shares != before {
@@ -119,13 +121,13 @@
     }
 
     /// The next record of the roster that this router has to write.
-    pub(crate) fn next_roster_write(&self) -> Option<Write> {
+    pub(crate) fn next_roster_write(&self) -> Option<RosterWrite> {
         self.roster().next_write(Moment::now())
     }
 
     /// Records that a write of the roster has succeeded.
-    pub(crate) fn confirm_roster_write(&self, write: &Write) {
-        self.roster().wrote(write, Moment::now());
+    pub(crate) fn confirm_roster_write(&self, write: &RosterWrite) {
+        self.roster().confirm_write(write, Moment::now());
     }
 
     /// The share of this router, if it has one.
@@ -153,9 +155,9 @@
     pub(crate) fn take_tokens(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
+        terms: BucketSpec,
         max_tokens: f64,
-    ) -> Option<(Taken, Moment)> {
+    ) -> Option<(TakenTokens, Moment)> {
         let now = Moment::now();
         self.with_quota(workspace, |quota, count| {
             quota.last_request = Some(now);
@@ -167,7 +169,7 @@
     pub(crate) fn lend(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
+        terms: BucketSpec,
         max_tokens: f64,
     ) -> Option<f64> {
         let now = Moment::now();
@@ -180,7 +182,7 @@
     }
 
     /// Adds borrowed tokens that were not used.
-    pub(crate) fn add_borrowed(&self, workspace: &WorkspaceName, terms: Terms, tokens: f64) {
+    pub(crate) fn add_borrowed(&self, workspace: &WorkspaceName, terms: BucketSpec, tokens: f64) {
         self.with_quota(workspace, |quota, count| {
             quota.bucket.add(terms.share(count), tokens, Moment::now());
         });
@@ -190,13 +192,13 @@
     pub(crate) fn refund(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
-        taken: Taken,
+        terms: BucketSpec,
+        taken: TakenTokens,
         since: Moment,
     ) {
         self.with_quota(workspace, |quota, count| {
             if quota.since == since {
-                quota.bucket.put_back(terms.share(count), taken, Moment::now());
+                quota.bucket.refund(terms.share(count), taken, Moment::now());
             }
         });
     }
@@ -205,7 +207,7 @@
     pub(crate) fn record_request(&self, workspace: &WorkspaceName, cost: f64, admitted: bool) {
         self.with_quota(workspace, |quota, _| {
             if admitted {
-                quota.meter.count(cost, Moment::now());
+                quota.meter.record(cost, Moment::now());
             } else {
                 quota.refused += 1;
             }
@@ -220,7 +222,7 @@
     pub(crate) fn available_lenders(&self) -> Vec<SocketAddr> {
         let (now, unresponsive) = (Moment::now(), self.unresponsive());
         let answers = |addr: &SocketAddr| unresponsive.get(addr).is_none_or(|until| *until <= now);
-        self.roster().others().map(|(addr, _)| addr).filter(answers).collect()
+        self.roster().peers().map(|(addr, _)| addr).filter(answers).collect()
     }
 
     /// Records whether a request to another router timed out.
@@ -259,15 +261,15 @@
     pub(crate) fn retry_after(
         &self,
         workspace: &WorkspaceName,
-        terms: Terms,
+        terms: BucketSpec,
         cost: f64,
         window: Duration,
     ) -> Duration {
         let own = self.with_quota(workspace, |quota, count| {
             let share = terms.share(count);
-            quota.bucket.wait(share, cost.min(share.depth), Moment::now())
+            quota.bucket.time_until(share, cost.min(share.capacity), Moment::now())
         });
-        let delay = own.unwrap_or_else(|| self.roster().wait(Moment::now()));
+        let delay = own.unwrap_or_else(|| self.roster().time_until_share(Moment::now()));
         delay
             .clamp(MIN_RETRY_AFTER, window)
             .mul_f64(1.0 + RETRY_AFTER_JITTER * rand::random::<f64>())
@@ -283,7 +285,7 @@
     let workspaces = catalog.workspaces.iter().flat_map(Workspaces::iter);
     let workspaces = workspaces.map(|workspace| {
         let usage = workspace.limit.and_then(|limit| {
-            let terms = Terms::new(limit, bounds);
+            let terms = BucketSpec::new(limit, bounds);
             quotas.with_quota(&workspace.name, |quota, count| {
                 let left = quota.bucket.level(terms.share(count), now);
                 (left, quota.meter.rate(now), quota.refused)
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -14,7 +14,7 @@
 pub(crate) fn is_ready(shared: &Shared) -> bool {
     shared.shutdown.phase() == Phase::Run
         && shared.current().is_some_and(|catalog| can_serve(shared, &catalog))
-        && shared.known.lock().listed
+        && shared.known.lock().list_loaded
 }
 
 /// Whether there is a route whose requests can be authenticated.
@@ -22,7 +22,7 @@
     let bound = shared.settings.borrow().bounds.revoke;
     catalog.workspaces.is_none()
         || shared.access.is_fresh(bound)
-        || catalog.routes().any(|route| route.open)
+        || catalog.routes().any(|route| route.anonymous_allowed)
 }
 
 /// Answers a check of the load balancer.
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -173,11 +173,11 @@
         frame = response.body.frame() => match frame {
             Some(Ok(frame)) => StreamRead::Data(frame.into_data().unwrap_or_default()),
             Some(Err(error)) => StreamRead::Interrupted(error.to_string()),
-            None => StreamRead::End,
+            None => StreamRead::End
         },
         () = writer.closed() => StreamRead::CallerLeft,
         () = tokio::time::sleep_until(deadline) => StreamRead::DeadlinePassed,
-        () = stalled, if time_limit.is_some() => StreamRead::Stalled,
+        () = stalled, if time_limit.is_some() => StreamRead::Stalled
     }
 }
 
@@ -210,7 +210,7 @@
     let mut timing = ResponseTiming::default();
     let cause = loop {
         let elsewhere = resumable && request.runs < request.route.attempts;
-        let time_limit = elsewhere.then(|| request.route.patience / STALL_DIVISOR);
+        let time_limit = elsewhere.then(|| request.route.event_timeout / STALL_DIVISOR);
         let failure = match read_stream(&mut response, &writer, time_limit, request.deadline).await
         {
             StreamRead::CallerLeft => return request_log.log_caller_left(),
@@ -218,7 +218,7 @@
                 break "the deadline of the request has passed".to_owned();
             }
             StreamRead::Data(data) => {
-                response.reservation.pool.signs().alive(Instant::now());
+                response.reservation.pool.liveness().answer_received(Instant::now());
                 let ready = if resumable { events.push(data) } else { data };
                 if ready.is_empty() {
                     continue;
@@ -237,7 +237,7 @@
                 }
                 let _ = writer.finish().await;
                 request_log.log_response(status, &timing, true);
-                request.shared.known.streamed(timing.longest_gap > request.route.pause);
+                request.shared.known.record_stream(timing.longest_gap > request.route.max_pause);
                 request.clear_suspicion();
                 return response.release_connection();
             }
@@ -245,7 +245,7 @@
             // to an endpoint that can resume it before the caller leaves; otherwise it would be
             // lost although its endpoint is still working on it.
             StreamRead::Stalled
-                if request.may_move(&response.reservation.id, request.route.patience / 2) =>
+                if request.may_move(&response.reservation.id, request.route.event_timeout / 2) =>
             {
                 StreamFailure::Stalled
             }
@@ -257,7 +257,7 @@
         events.pending.clear();
         let resumed = tokio::select! {
             resumed = resume_stream(&mut request, &id, &failure, events.last_id) => resumed,
-            () = writer.closed() => return request_log.log_caller_left(),
+            () = writer.closed() => return request_log.log_caller_left()
         };
         match resumed {
             Some(next) => response = next,
@@ -283,7 +283,7 @@
             request.interrupted(id, cause).ok()?;
         }
     }
-    request.send_by = request.deadline.min(Instant::now() + request.route.patience / 2);
+    request.send_by = request.deadline.min(Instant::now() + request.route.event_timeout / 2);
     let next = request.fetch_response(last_event).await.ok()?;
     request.log_step(Step::Resumed, &next.reservation.id, "");
     next.head.status.is_success().then_some(next)
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -10,7 +10,7 @@
 use http::header::{self, HeaderValue};
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
-use platform::Call;
+use platform::RequestHeaders;
 use process::Phase;
 use quarantine::Digest;
 use tokio::time::Instant;
@@ -103,17 +103,17 @@
 ) -> Result<Response<Body>, Failure> {
     let (mut parts, body) = request.into_parts();
     let malformed = || failure(StatusCode::BAD_REQUEST, Refusal::Malformed, None);
-    let call = platform::read_call(&parts).map_err(|_| malformed())?;
+    let call = platform::parse_request_headers(&parts).map_err(|_| malformed())?;
     let AuthorizedRequest { catalog, route, identity } =
         authorize(shared, &call, &parts, request_log).await?;
     let service = route
-        .backend(rand::random())
+        .choose_service(rand::random())
         .cloned()
         .ok_or_else(|| failure(StatusCode::SERVICE_UNAVAILABLE, Refusal::NoEndpoint, None))?;
     let time_left = call.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
     let deadline = request_log.arrived + time_left.saturating_sub(RESPONSE_MARGIN);
     let send_by =
-        deadline.min(request_log.arrived + route.patience.saturating_sub(FIRST_EVENT_TIME));
+        deadline.min(request_log.arrived + route.event_timeout.saturating_sub(FIRST_EVENT_TIME));
     request_log.deadline = request_log.arrived + time_left;
     request_log.class = route.class();
     emit(&Event::Accepted {
@@ -124,7 +124,7 @@
         model: &call.model.as_ref().map(ToString::to_string).unwrap_or_default(),
         left_ms: millis(time_left),
         target_ms: millis(route.target),
-        pause_ms: millis(route.pause),
+        pause_ms: millis(route.max_pause),
     });
     shared.record_request(&service);
     let charge = match identity.workspace() {
@@ -142,7 +142,7 @@
         }
         None => None,
     };
-    let read = tokio::time::timeout_at(deadline, web::read(body, catalog.limits.body)).await;
+    let read = tokio::time::timeout_at(deadline, web::read(body, catalog.limits.body_bytes)).await;
     let Ok(read) = read else {
         return Err(failure(StatusCode::REQUEST_TIMEOUT, Refusal::TimedOut, None));
     };
@@ -200,7 +200,7 @@
 }
 
 /// How long a request is held while the router reads the store for the first time.
-fn first_read_wait(call: &Call) -> Duration {
+fn first_read_wait(call: &RequestHeaders) -> Duration {
     (call.deadline.unwrap_or(DEFAULT_DEADLINE) / FIRST_READ_DIVISOR).min(MAX_FIRST_READ_WAIT)
 }
 
@@ -214,7 +214,7 @@
 /// Finds the route of a request, and checks its key.
 async fn authorize(
     shared: &Shared,
-    call: &Call,
+    call: &RequestHeaders,
     parts: &request::Parts,
     request_log: &RequestLog,
 ) -> Result<AuthorizedRequest, Failure> {
--- a/components/router/src/reservation.rs
+++ b/components/router/src/reservation.rs
@@ -8,12 +8,12 @@
 use http::{HeaderMap, StatusCode};
 use quarantine::Digest;
 use tokio::time::Instant;
-use units::{EndpointId, Life, ModelName};
+use units::{EndpointId, EndpointIncarnation, ModelName};
 
-use crate::endpoint::Peer;
-use crate::known::Peers;
-use crate::pool::Pool;
-use crate::runs::Ticket;
+use crate::endpoint::TrackedEndpoint;
+use crate::pool::ConnectionPool;
+use crate::registry::EndpointTable;
+use crate::sent_requests::SentRequestId;
 use crate::shared::Shared;
 
 /// A request at an endpoint: counts against the endpoint until it is dropped.
@@ -22,8 +22,8 @@
     shared: Arc<Shared>,
     pub(crate) id: EndpointId,
     /// The incarnation of the endpoint in which the reservation was made.
-    pub(crate) incarnation: Option<Life>,
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) incarnation: Option<EndpointIncarnation>,
+    pub(crate) pool: Arc<ConnectionPool>,
     /// Requests of this router at the endpoint, this one included.
     pub(crate) running: u32,
     /// Age of the last news of the endpoint.
@@ -39,7 +39,7 @@
     /// Whether a response has begun.
     response_begun: bool,
     /// Id of the request among the sent requests of the endpoint, once it has been sent.
-    ticket: Option<Ticket>,
+    sent_id: Option<SentRequestId>,
     /// Whether the request may not share the endpoint with other requests that were at crashed
     /// endpoints.
     isolated: bool,
@@ -50,7 +50,7 @@
     /// whose first event is expected after `expected`.
     pub(crate) fn new(
         shared: &Arc<Shared>,
-        table: &mut Peers,
+        table: &mut EndpointTable,
         id: EndpointId,
         model: Option<&ModelId>,
         (prefill_time, expected): (Duration, Duration),
@@ -58,20 +58,20 @@
         now: Instant,
     ) -> Option<Self> {
         let tracked = table.map.get_mut(&id)?;
-        tracked.pool.runs().apart += u32::from(isolated);
-        tracked.pool.signs().sent(now);
+        tracked.pool.sent_requests().isolated += u32::from(isolated);
+        tracked.pool.liveness().request_sent(now);
         tracked.running += 1;
         if let Some(model) = model {
-            tracked.ahead.add(prefill_time, now);
+            tracked.backlog.add(prefill_time, now);
             let usage = tracked.uses.entry(model.model.clone()).or_default();
             usage.begun += 1;
             usage.running += 1;
         }
-        let heard = tracked.state.as_ref().map_or(tracked.seen, |(_, heard)| *heard);
+        let heard = tracked.state.as_ref().map_or(tracked.listed_at, |(_, heard)| *heard);
         Some(Self {
             shared: shared.clone(),
             id,
-            incarnation: tracked.endpoint.life,
+            incarnation: tracked.endpoint.incarnation,
             pool: tracked.pool.clone(),
             running: tracked.running,
             age: now - heard,
@@ -81,7 +81,7 @@
             expected,
             waited_for_load: false,
             response_begun: false,
-            ticket: None,
+            sent_id: None,
             isolated,
         })
     }
@@ -92,18 +92,20 @@
         let table = self.shared.known.lock();
         let tracked =
             table.map.get(&self.id).filter(|tracked| Arc::ptr_eq(&tracked.pool, &self.pool));
-        tracked.is_some_and(|tracked| tracked.stays() && tracked.away(Instant::now()).is_none())
+        tracked.is_some_and(|tracked| {
+            tracked.accepts_work() && tracked.backoff_left(Instant::now()).is_none()
+        })
     }
 
     /// Records that the request is sent now.
     pub(crate) fn record_sent(&mut self, digest: &Digest) {
-        self.ticket.get_or_insert_with(|| self.pool.runs().begin(*digest));
+        self.sent_id.get_or_insert_with(|| self.pool.sent_requests().begin(*digest));
     }
 
     /// Records that the endpoint survived the request, or never received it.
     pub(crate) fn clear_suspicion(&mut self) {
-        if let Some(ticket) = self.ticket.take() {
-            self.pool.runs().end(ticket, true, Instant::now());
+        if let Some(sent_id) = self.sent_id.take() {
+            self.pool.sent_requests().end(sent_id, true, Instant::now());
         }
     }
 
@@ -112,18 +114,18 @@
         if platform::instance_of(headers).is_some_and(|other| other != self.id) {
             return;
         }
-        let same = |tracked: &Peer| Arc::ptr_eq(&tracked.pool, &self.pool);
-        let notice = platform::read_notice(status, headers);
-        self.shared.known.noticed(&self.id, self.incarnation, notice, same);
+        let same = |tracked: &TrackedEndpoint| Arc::ptr_eq(&tracked.pool, &self.pool);
+        let hints = platform::read_endpoint_hints(status, headers);
+        self.shared.known.apply_hints(&self.id, self.incarnation, hints, same);
     }
 
     /// Records that the endpoint has begun to run the request.
     pub(crate) fn record_begun(&mut self) {
         let now = Instant::now();
-        self.pool.signs().alive(now);
+        self.pool.liveness().answer_received(now);
         self.response_begun = true;
-        if let Some(ticket) = self.ticket {
-            self.pool.runs().begun(ticket, now);
+        if let Some(sent_id) = self.sent_id {
+            self.pool.sent_requests().answer_began(sent_id, now);
         }
         let shared = self.shared.clone();
         let mut table = shared.known.lock();
@@ -137,17 +139,20 @@
     }
 
     /// Removes the prompt from the endpoint's backlog.
-    fn remove_from_backlog(&mut self, table: &mut Peers, now: Instant) {
+    fn remove_from_backlog(&mut self, table: &mut EndpointTable, now: Instant) {
         let prefill_time = std::mem::take(&mut self.prefill_time);
         if !prefill_time.is_zero()
             && let Some(tracked) = self.tracked_endpoint(table)
         {
-            tracked.ahead.done(prefill_time, now);
+            tracked.backlog.remove(prefill_time, now);
         }
     }
 
     /// The endpoint, if it is still in the incarnation that the request was sent to.
-    fn tracked_endpoint<'a>(&self, table: &'a mut Peers) -> Option<&'a mut Peer> {
+    fn tracked_endpoint<'a>(
+        &self,
+        table: &'a mut EndpointTable,
+    ) -> Option<&'a mut TrackedEndpoint> {
         table.map.get_mut(&self.id).filter(|tracked| Arc::ptr_eq(&tracked.pool, &self.pool))
     }
 }
@@ -155,19 +160,19 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         let now = Instant::now();
-        let mut runs = self.pool.runs();
-        runs.apart = runs.apart.saturating_sub(u32::from(self.isolated));
-        if let Some(ticket) = self.ticket {
-            runs.end(ticket, false, now);
+        let mut sent_requests = self.pool.sent_requests();
+        sent_requests.isolated = sent_requests.isolated.saturating_sub(u32::from(self.isolated));
+        if let Some(sent_id) = self.sent_id {
+            sent_requests.end(sent_id, false, now);
         }
-        drop(runs);
+        drop(sent_requests);
         let shared = self.shared.clone();
         let mut table = shared.known.lock();
         self.remove_from_backlog(&mut table, now);
         let Some(tracked) = self.tracked_endpoint(&mut table) else { return };
         tracked.running = tracked.running.saturating_sub(1);
         if tracked.running == 0 && self.response_begun {
-            self.pool.signs().rest(now);
+            self.pool.liveness().requests_finished(now);
         }
         if let Some(model) = &self.model
             && let Some(usage) = tracked.uses.get_mut(&model.model)
--- a/components/router/src/serve.rs
+++ b/components/router/src/serve.rs
@@ -52,7 +52,7 @@
             () = &mut drain, if accept_deadline.is_none() => {
                 accept_deadline = Some(Instant::now() + BALANCER_DRAIN_TIME);
             }
-            () = tokio::time::sleep_until(deadline), if accept_deadline.is_some() => break,
+            () = tokio::time::sleep_until(deadline), if accept_deadline.is_some() => break
         }
     }
     drop(listener);
@@ -67,11 +67,12 @@
 async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
     let caller = CallerConnection::new(stream);
     let limits = shared.current().map(|catalog| catalog.limits.clone());
-    let idle =
-        limits.as_ref().map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle.max(limits.patience));
+    let idle = limits
+        .as_ref()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout.max(limits.header_timeout));
     let header = limits
         .as_ref()
-        .map_or(MIN_READ_BUFFER_BYTES, |limits| limits.header.max(MIN_READ_BUFFER_BYTES));
+        .map_or(MIN_READ_BUFFER_BYTES, |limits| limits.header_bytes.max(MIN_READ_BUFFER_BYTES));
     let service = service_fn(|request| {
         let answer = request::answer(shared.clone(), caller.clone(), request);
         async move { Ok::<_, Infallible>(answer.await) }
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use admission::{Repeat, RepeatLimits, Repeats};
+use admission::{RetryBudget, RetryDecision, RetryLimits};
 use catalog::Catalog;
-use control::{Kept, Loader, Position, State};
+use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
 use process::{Pulse, Shutdown, Single};
@@ -18,10 +18,10 @@
 
 use crate::Settings;
 use crate::access::KeyState;
-use crate::endpoint::Peer;
-use crate::guard::Guard;
-use crate::known::Known;
+use crate::endpoint::TrackedEndpoint;
+use crate::guard::CrashGuard;
 use crate::quotas::Quotas;
+use crate::registry::EndpointRegistry;
 
 /// Minimum `Retry-After` of a router that waits for the store, which it asks several times a
 /// second.
@@ -83,7 +83,7 @@
     pub(crate) domain: Domain,
     pub(crate) pulse: Arc<Pulse>,
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
-    pub(crate) known: Known,
+    pub(crate) known: EndpointRegistry,
     pub(crate) shutdown: Shutdown,
     /// Whether the router is ending and accepts no connections any more: requests that have no
     /// endpoint by then are refused.
@@ -99,25 +99,25 @@
     /// Enforces the quotas of workspaces.
     pub(crate) quotas: Quotas,
     /// Holds back requests that crash endpoints.
-    pub(crate) guard: Arc<Guard>,
+    pub(crate) guard: Arc<CrashGuard>,
     /// How far the crash records have been read; none while the store is unreachable.
     pub(crate) crash_records_position: watch::Sender<Option<StorePosition>>,
-    retry_budgets: Mutex<HashMap<ServiceName, Repeats>>,
+    retry_budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
 }
 
 impl Shared {
     /// Creates the shared state, and the queue of records that the crash guard wants written to
     /// the store.
-    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<Kept>) {
+    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let settings = process.settings.borrow().clone();
-        let (guard, records) = Guard::new(settings.instance.to_string());
+        let (guard, records) = CrashGuard::new(settings.instance.to_string());
         let shared = Self {
             settings: process.settings.clone(),
             instance: settings.instance.to_string(),
             domain: settings.domain.clone(),
             pulse: process.pulse.clone(),
             catalog: watch::Sender::new(None),
-            known: Known::default(),
+            known: EndpointRegistry::default(),
             shutdown: process.shutdown.clone(),
             closing: watch::Sender::new(false),
             start_state: watch::Sender::new(StartState::Reading),
@@ -161,7 +161,7 @@
     pub(crate) fn position(&self) -> Position {
         let version = self.current().map_or(Revision(0), |current| current.version);
         let table = self.known.lock();
-        Position { version, read: table.read }
+        Position { version, read: table.list_position }
     }
 
     /// Records whether a read of the store succeeded. The first reads decide whether requests at
@@ -177,7 +177,7 @@
 
     /// Updates the start state after a read of the store or an answer of another router.
     pub(crate) fn update_start_state(&self, reached: bool) {
-        let known = self.current().is_some() && self.known.lock().listed;
+        let known = self.current().is_some() && self.known.lock().list_loaded;
         self.start_state.send_if_modified(|start| {
             let next = match (*start, known, reached) {
                 (_, true, _) => StartState::Ready,
@@ -211,19 +211,19 @@
     }
 
     /// A client of the loader that runs on the instance of an endpoint.
-    pub(crate) fn loader_client(&self, endpoint: std::net::SocketAddr) -> Loader {
+    pub(crate) fn loader_client(&self, endpoint: std::net::SocketAddr) -> LoaderClient {
         let addr = std::net::SocketAddr::new(endpoint.ip(), self.settings.borrow().loader);
-        Loader::new(self.client.clone(), addr)
+        LoaderClient::new(self.client.clone(), addr)
     }
 
     /// Applies the state of an endpoint that its loader reported.
-    pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: State) {
+    pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: EndpointState) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
             let service = self.known.lock().map.get(id)?.endpoint.service.clone();
             catalog.service(&service)?.engine.as_ref()
         });
-        self.known.heard(id, state, engine);
+        self.known.apply_state(id, state, engine);
     }
 
     /// Fetches the report of an endpoint, which shows that it responds.
@@ -233,10 +233,12 @@
         endpoint: std::net::SocketAddr,
         timeout: Duration,
     ) -> Result<(), String> {
-        let report = platform::read_report(&self.client, endpoint, timeout).await;
+        let report = platform::fetch_report(&self.client, endpoint, timeout).await;
         let report = report.map_err(|error| error.to_string())?;
-        let same = |tracked: &Peer| tracked.endpoint.addr == endpoint && tracked.lives(report.life);
-        self.known.noticed(id, report.life, report.notice, same);
+        let same = |tracked: &TrackedEndpoint| {
+            tracked.endpoint.addr == endpoint && tracked.same_incarnation(report.incarnation)
+        };
+        self.known.apply_hints(id, report.incarnation, report.hints, same);
         Ok(())
     }
 
@@ -250,9 +252,9 @@
         let catalog = self.current()?;
         let path = catalog.service(&endpoint.service)?.health.as_deref()?;
         match platform::check_health(&self.client, endpoint.addr, path, id, timeout).await {
-            Ok((health, notice)) => {
-                let same = |tracked: &Peer| Arc::ptr_eq(&tracked.pool, &pool);
-                self.known.noticed(id, endpoint.life, notice, same);
+            Ok((health, hints)) => {
+                let same = |tracked: &TrackedEndpoint| Arc::ptr_eq(&tracked.pool, &pool);
+                self.known.apply_hints(id, endpoint.incarnation, hints, same);
                 Some(health)
             }
             Err(error) => {
@@ -264,16 +266,16 @@
 
     /// Counts a request to a service for its retry budget.
     pub(crate) fn record_request(&self, service: &ServiceName) {
-        self.with_retry_budget(service, |budget| budget.request(Instant::now()));
+        self.with_retry_budget(service, |budget| budget.record_request(Instant::now()));
     }
 
     /// Takes a retry of a request from the budget of its service; false if the budget is
     /// exhausted.
     pub(crate) fn try_retry(&self, service: &ServiceName, request_id: &str) -> bool {
-        let routers = self.known.lock().heard_routers();
+        let routers = self.known.lock().reported_routers();
         let decision =
-            self.with_retry_budget(service, |budget| budget.repeat(routers, Instant::now()));
-        let Repeat { allowed, spent, limit } = decision;
+            self.with_retry_budget(service, |budget| budget.try_retry(routers, Instant::now()));
+        let RetryDecision { allowed, spent, limit } = decision;
         emit(&Event::Repeat {
             request: request_id,
             service: service.as_str(),
@@ -284,11 +286,15 @@
         allowed
     }
 
-    fn with_retry_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Repeats) -> T) -> T {
+    fn with_retry_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let mut budgets = self.retry_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let limits = self.settings.borrow().repeats;
         let Span(window) = limits.window;
-        let limits = RepeatLimits { ratio: limits.ratio, slack: limits.slack, window };
-        f(budgets.entry(service.clone()).or_insert_with(|| Repeats::new(limits)))
+        let limits = RetryLimits { ratio: limits.ratio, slack: limits.slack, window };
+        f(budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(limits)))
     }
 }
