--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -89,7 +89,7 @@
 /// client's timeout, and the next call still has to deliver the changes within `bound`.
 fn max_retry_pause(shared: &Shared, bound: Span) -> Duration {
     let longest =
-        if shared.away_since().is_some() { MAX_START_RETRY_PAUSE } else { MAX_RETRY_PAUSE };
+        if shared.unreachable_since().is_some() { MAX_START_RETRY_PAUSE } else { MAX_RETRY_PAUSE };
     longest.min(read_wait(bound, platform::STORE_TIMEOUT))
 }
 
--- a/components/router/src/lib.rs
+++ b/components/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! Serves callers from endpoints that it calls directly.
+//! The router: receives requests of callers and sends them directly to endpoints.
 
 mod access;
 mod borrow;
@@ -11,21 +11,21 @@
 mod endpoint;
 mod exchange;
 mod feed;
-mod flight;
 mod guard;
+mod in_flight;
 mod list;
 mod liveness;
 mod loader_task;
 mod missing;
-mod place;
 mod pool;
-mod prepare;
+mod prefetch;
 mod probe;
 mod quotas;
 mod ready;
 mod registry;
 mod relay;
 mod request;
+mod reservation;
 mod roster;
 mod run;
 mod sent_requests;
@@ -35,4 +35,4 @@
 mod snapshot;
 
 pub use run::run;
-pub use settings::{Bounds, QuotaSettings, RepeatSettings, Settings};
+pub use settings::{Bounds, QuotaSettings, RetrySettings, Settings};
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -51,7 +51,7 @@
     let mut turn = 0;
     while stale.wait_for(|stale| stale.any()).await.is_ok() {
         let mut others = shared.other_routers();
-        let starting = shared.away_since().is_some();
+        let starting = shared.unreachable_since().is_some();
         if !starting && !others.is_empty() {
             turn += 1;
             others = vec![others[turn % others.len()]];
@@ -104,5 +104,5 @@
         missing::watch(shared, to_check);
         loader_task::start_new(shared);
     }
-    shared.update_start(false);
+    shared.update_start_state(false);
 }
