--- a/components/placement/src/backlog.rs
+++ b/components/placement/src/backlog.rs
@@ -1,65 +1,71 @@
-//! Prompts that an endpoint has still to read, as one router knows it.
+//! The prompts that an endpoint has yet to process, as estimated by one router.
 //!
-//! Load pattern: a burst comes through all routers at once, and none hears of the others' requests before their loader
-//! does, a second later. Callers are spread over the routers, so that what one has sent lately stands for the others:
-//! its mean over the last moments, and a part of what it has just sent.
+//! Load pattern: a burst of requests arrives through all routers at once, and a router learns of the requests of the
+//! others only through the endpoint's loader, up to a second later. Callers are spread over the routers, so what one
+//! router has sent recently stands for what each of the others has sent: the recent mean of its backlog, and a part of
+//! a burst that it has just sent.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::decay::kept;
+use crate::decay::remaining_weight;
 
-/// The time over which the mean is taken: a few prompts.
-const SPAN: Duration = Duration::from_millis(300);
-/// Each other router is taken to have sent at least this part of a burst that this one has just sent.
-const ALIKE: f64 = 1.0 / 3.0;
-/// Prompts that are a burst; fewer say nothing of other routers.
-const BURST: u32 = 3;
+/// Time constant of the mean backlog: the time in which an engine processes a few prompts.
+const MEAN_TIME_CONSTANT: Duration = Duration::from_millis(300);
+/// Each other router is assumed to have sent at least this part of a burst that this router has just sent.
+const OTHER_ROUTER_BURST_PART: f64 = 1.0 / 3.0;
+/// The number of prompts that make a burst; fewer say nothing about other routers.
+const MIN_BURST_PROMPTS: u32 = 3;
 
-/// The reading that requests of one router still need at an endpoint, in seconds.
+/// The prompts that one router has sent to an endpoint and that the endpoint has yet to process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PromptBacklog {
-    own: f64,
-    /// Prompts that it is made of.
+    /// Their prefill time, in seconds.
+    seconds: f64,
     prompts: u32,
-    mean: f64,
-    at: Option<Instant>,
+    /// Decaying mean of `seconds`.
+    mean_seconds: f64,
+    updated: Option<Instant>,
 }
 
 impl PromptBacklog {
-    /// A request was sent there.
-    pub fn add(&mut self, work: Duration, now: Instant) {
-        self.mean = self.mean_at(now);
-        self.at = Some(now);
-        self.own += work.as_secs_f64();
+    /// Adds the prompt of a request that was sent to the endpoint.
+    pub fn add(&mut self, prefill: Duration, now: Instant) {
+        self.mean_seconds = self.mean_at(now);
+        self.updated = Some(now);
+        self.seconds += prefill.as_secs_f64();
         self.prompts += 1;
     }
 
-    /// A request has begun to run, or is over.
-    pub fn remove(&mut self, work: Duration, now: Instant) {
-        self.mean = self.mean_at(now);
-        self.at = Some(now);
-        self.own = (self.own - work.as_secs_f64()).max(0.0);
+    /// Removes the prompt of a request that has begun to generate or has ended.
+    pub fn remove(&mut self, prefill: Duration, now: Instant) {
+        self.mean_seconds = self.mean_at(now);
+        self.updated = Some(now);
+        self.seconds = (self.seconds - prefill.as_secs_f64()).max(0.0);
         self.prompts = self.prompts.saturating_sub(1);
     }
 
-    /// Prompts of this router that it has still to read.
+    /// The number of prompts of this router that the endpoint has yet to process.
     pub fn prompts(&self) -> u32 {
         self.prompts
     }
 
-    /// What it has to read for all of so many routers.
+    /// Estimates the prefill time of the prompts of all routers, given the number of routers.
     pub fn total(&self, routers: u32, now: Instant) -> Duration {
         let others = f64::from(routers.saturating_sub(1));
-        let burst = if self.prompts >= BURST { self.own * ALIKE } else { 0.0 };
+        let burst = if self.prompts >= MIN_BURST_PROMPTS {
+            self.seconds * OTHER_ROUTER_BURST_PART
+        } else {
+            0.0
+        };
         let other = self.mean_at(now).max(burst);
-        Duration::from_secs_f64(self.own + others * other)
+        Duration::from_secs_f64(self.seconds + others * other)
     }
 
     fn mean_at(&self, now: Instant) -> f64 {
-        let kept = kept(self.at, now, SPAN);
-        self.mean * kept + self.own * (1.0 - kept)
+        let weight = remaining_weight(self.updated, now, MEAN_TIME_CONSTANT);
+        self.mean_seconds * weight + self.seconds * (1.0 - weight)
     }
 }
 
--- a/components/placement/src/choose.rs
+++ b/components/placement/src/choose.rs
@@ -1,8 +1,9 @@
 //! Which endpoint serves a request.
 //!
-//! Load pattern: bursts for one model through many routers at once, while accelerator memory is short. The holder goes
-//! first that is expected to answer first. Where that makes no difference that a caller notices, near ones go before
-//! far ones, and all routers keep to the same order, so that other holders fall idle and can make room.
+//! Load pattern: bursts for one model through many routers at once, while accelerator memory is scarce. The replica that
+//! is expected to respond first is preferred. Where callers don't notice the difference, replicas in the router's own
+//! failure domain are preferred to others, and all routers rank the replicas alike, so that the remaining replicas
+//! become idle and can be evicted.
 
 use std::time::Duration;
 
@@ -11,60 +12,69 @@
 
 use crate::{Candidate, MAX_MODEL_SLOT_SHARE, memory_scarce};
 
-/// What a full endpoint without models costs a request, in milliseconds; a part of it costs a part.
-const FULL: f64 = 20.0;
-/// What the way to another failure domain costs, in milliseconds: the round trip, and bytes that are paid for.
-const FAR: f64 = 4.0;
-/// What a failure of late costs an endpoint without models, in milliseconds: it goes behind one that is half full.
-const FAILED: f64 = 10.0;
-/// Expected times to the first event are alike within this time: callers don't notice it.
-const ALIKE: Duration = Duration::from_millis(25);
-/// The same while room is short.
-const ALIKE_TIGHT: Duration = Duration::from_millis(100);
-/// From this part of its slots on, an engine makes requests wait for runs to end.
-const CROWDED: f64 = 0.9;
-/// What a place costs there, for all of its slots: about the length of a run.
-const RUN: Duration = Duration::from_millis(500);
+/// The cost of a request at a full endpoint without models, in milliseconds; at a partly full one, that part of it.
+const FULL_ENDPOINT_COST_MS: f64 = 20.0;
+/// The cost of a request to another failure domain, in milliseconds: the round trip, and traffic that is paid for.
+const OTHER_DOMAIN_COST_MS: f64 = 4.0;
+/// The cost of each recent failure at an endpoint without models, in milliseconds: one failure ranks the endpoint behind
+/// an endpoint that is half full.
+const FAILURE_COST_MS: f64 = 10.0;
+/// Expected times to the first event count as equal within this time, since callers don't notice the difference.
+const LATENCY_STEP: Duration = Duration::from_millis(25);
+/// The same while memory is scarce.
+const SCARCE_MEMORY_LATENCY_STEP: Duration = Duration::from_millis(100);
+/// With more than this part of its slots taken, an engine makes requests wait for others to end.
+const CROWDED_SLOT_SHARE: f64 = 0.9;
+/// The expected wait for a slot is this time multiplied by the part of the slots that is taken beyond the limit; about the
+/// duration of one request.
+const SLOT_WAIT: Duration = Duration::from_millis(500);
 
-/// Where a request goes.
+/// The endpoint that gets a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChosenEndpoint {
-    /// The candidate.
+    /// The index of the candidate.
     pub index: usize,
-    /// When its first event is expected.
+    /// The expected time until the first event of the response.
     pub first_event: Duration,
 }
 
-/// The best endpoint that can serve now; `id` is the model that it must hold, if it runs models, and `work` the time
-/// that its prompt takes.
+/// Chooses the best endpoint that can serve a request now. `id` is the model that the endpoint must hold, if the service
+/// runs models; `prefill` is the time that the request's prompt takes; `local` is the router's failure domain.
 pub fn choose_endpoint(
     candidates: &[Candidate<'_>],
     id: Option<&ModelId>,
-    work: Duration,
-    near: &Domain,
+    prefill: Duration,
+    local: &Domain,
 ) -> Option<ChosenEndpoint> {
     let all = candidates.iter().enumerate();
     match id {
         Some(id) => {
-            let holds = |one: &Candidate<'_>| one.holdings.is_some_and(|held| held.serves(id));
+            let serves =
+                |candidate: &Candidate<'_>| candidate.holdings.is_some_and(|held| held.serves(id));
             let key = id.model.as_str();
-            let tight = memory_scarce(candidates);
-            let alike = if tight { ALIKE_TIGHT } else { ALIKE };
-            let full = if tight { MAX_MODEL_SLOT_SHARE } else { CROWDED };
-            let costs = all.filter(|(_, one)| holds(one)).map(|(index, one)| {
-                let expect = one.backlog + work + RUN.mul_f64((one.fill() - CROWDED).max(0.0));
-                let over = RUN.mul_f64((one.fill() - full).max(0.0));
-                let steps = (one.backlog + over).as_millis() / alike.as_millis();
-                let far = !tight && one.endpoint.domain != *near;
-                ((steps, far, one.rank(key)), ChosenEndpoint { index, first_event: expect })
+            let scarce = memory_scarce(candidates);
+            let step = if scarce { SCARCE_MEMORY_LATENCY_STEP } else { LATENCY_STEP };
+            let limit = if scarce { MAX_MODEL_SLOT_SHARE } else { CROWDED_SLOT_SHARE };
+            let costs = all.filter(|(_, candidate)| serves(candidate)).map(|(index, candidate)| {
+                let first_event = candidate.backlog
+                    + prefill
+                    + SLOT_WAIT.mul_f64((candidate.slot_share() - CROWDED_SLOT_SHARE).max(0.0));
+                let over_limit = SLOT_WAIT.mul_f64((candidate.slot_share() - limit).max(0.0));
+                let steps = (candidate.backlog + over_limit).as_millis() / step.as_millis();
+                let remote = !scarce && candidate.endpoint.domain != *local;
+                ((steps, remote, candidate.rank(key)), ChosenEndpoint { index, first_event })
             });
-            costs.min_by_key(|(cost, _)| *cost).map(|(_, served)| served)
+            costs.min_by_key(|(cost, _)| *cost).map(|(_, chosen)| chosen)
         }
         None => {
-            let far = |one: &Candidate<'_>| if one.endpoint.domain == *near { 0.0 } else { FAR };
-            let costs = all.map(|(index, one)| {
-                let cost = one.fill() * FULL + one.failures * FAILED + far(one);
-                (index, cost, one.rank(""))
+            let domain_cost = |candidate: &Candidate<'_>| {
+                if candidate.endpoint.domain == *local { 0.0 } else { OTHER_DOMAIN_COST_MS }
+            };
+            let costs = all.map(|(index, candidate)| {
+                let cost = candidate.slot_share() * FULL_ENDPOINT_COST_MS
+                    + candidate.failures * FAILURE_COST_MS
+                    + domain_cost(candidate);
+                (index, cost, candidate.rank(""))
             });
             let best = costs
                 .min_by(|(_, a, rank_a), (_, b, rank_b)| a.total_cmp(b).then(rank_a.cmp(rank_b)));
--- a/components/placement/src/demand.rs
+++ b/components/placement/src/demand.rs
@@ -1,58 +1,61 @@
-//! What a model asks of its holders, learned by one router, and how many of them it needs.
+//! The demand for one model as one router sees it, and the number of replicas that the model needs.
 //!
-//! Load pattern: demand moves within a second to a model that one endpoint holds, or comes for all models at once after
-//! a loss of power. Prompts are read one after another, so a single holder is soon late with all of them, and the
-//! pauses of its streams grow with what it reads. How long a model takes for a prompt is not known beforehand: small
-//! models are ten times as fast as large ones. It is learned from first events.
+//! Load pattern: demand shifts within a second to a model with a single replica, or returns for all models at once after
+//! a power failure. An engine processes prompts one after another, so a single replica is soon late with all of them,
+//! and the pauses of its streams grow with the prompts that it processes. The time that a model takes for a prompt is
+//! not known beforehand, and small models are ten times as fast as large ones; it is learned from first events.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::decay::kept;
-
-/// What a token of a prompt is taken to cost before any answer has come, in milliseconds; the first few correct it.
-const FIRST: f64 = 0.03;
-/// What is taken to pass before any reading, in milliseconds, until answers tell.
-const FIXED: f64 = 5.0;
-/// How much the first assumptions weigh, in answers.
-const PRIOR: f64 = 2.0;
-/// Prompts that the first assumptions stand for, in tokens.
-const SAMPLE: f64 = 1_000.0;
-/// What an answer weighs after each later one: the last fifty count.
-const KEPT: f64 = 0.98;
-/// What one that came later than expected weighs: it may have waited for work that this router does not know of.
-const LATER: f64 = 0.2;
-/// No answer counts as later than so many times what was expected, or a single one would say more than all others.
-const STRETCH: f64 = 4.0;
-/// A model is never taken to read so many times slower or faster than assumed at first.
-const RANGE: f64 = 20.0;
-/// The time over which arrivals are counted: a shift shows within a second, and ten arrivals are enough to judge.
-const SPAN: Duration = Duration::from_secs(1);
-/// The part of an endpoint's time that may go into reading prompts while there is room for more holders. Beyond it they
+use crate::decay::remaining_weight;
+
+/// Assumed prefill time per token before any first event, in milliseconds; the first few events correct it.
+const INITIAL_MS_PER_TOKEN: f64 = 0.03;
+/// Assumed time before the first event that doesn't depend on the prompt, in milliseconds, until events have been seen.
+const INITIAL_FIXED_MS: f64 = 5.0;
+/// The weight of the initial assumptions, in number of events.
+const INITIAL_WEIGHT: f64 = 2.0;
+/// The prompt length for which the initial assumptions are entered, in tokens.
+const INITIAL_PROMPT_TOKENS: f64 = 1_000.0;
+/// Factor on the weight of older events with each new one: about the last fifty count.
+const EVENT_DECAY: f64 = 0.98;
+/// The weight of an event that came later than expected: the request may have waited for work that this router doesn't
+/// know of.
+const LATE_EVENT_WEIGHT: f64 = 0.2;
+/// An event counts as no later than this many times the expected time; otherwise a single one would outweigh all others.
+const MAX_LATENESS_FACTOR: f64 = 4.0;
+/// A model is never taken to be more than this many times slower or faster than initially assumed.
+const MAX_SPEED_RATIO: f64 = 20.0;
+/// Time constant of the arrival rate: a shift of demand shows within a second, and ten arrivals are enough to judge.
+const ARRIVAL_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// The part of an endpoint's time that may go into prefill while there is room for more replicas. Beyond it prompts
 /// queue, and streams pause.
-const BUSY: f64 = 0.6;
-/// The part of an endpoint's slots that may be taken by one model's streams.
+const MAX_PREFILL_LOAD: f64 = 0.6;
+/// The part of an endpoint's slots that may be taken by the streams of one model.
 pub const MAX_MODEL_SLOT_SHARE: f64 = 0.6;
-/// Prompts that wait for a model are to be read within this time of its load.
-const WAVE: Duration = Duration::from_millis(500);
+/// Prompts that wait for a model are to be processed within this time after the model is loaded.
+const WAITING_PROMPTS_TARGET: Duration = Duration::from_millis(500);
 
-/// What one model asks for at one router.
+/// The demand for one model at one router.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
-    line: Line,
-    /// Tokens a second, of late.
-    rate: f64,
-    /// Requests a second, of late.
-    count: f64,
-    rated: Option<Instant>,
+    latency: LatencyFit,
+    /// Prompt tokens a second, decaying.
+    token_rate: f64,
+    /// Requests a second, decaying.
+    request_rate: f64,
+    /// When the rates were last updated.
+    rates_updated: Option<Instant>,
 }
 
-/// Times until the first event over tokens that were to be read before it: a line whose rise is the pace, and whose
-/// beginning the part that is no reading. That part differs tenfold among engines; taken for reading, it made models
-/// seem to need several times the endpoints that they do.
+/// A linear fit of the time until the first event (`y`, in milliseconds) over the prompt tokens to be processed before it
+/// (`x`), as weighted sums. The slope is the prefill time per token, the intercept the time that is not prefill. The
+/// intercept differs tenfold among engines; if it counted as prefill, models would seem to need several times the
+/// endpoints that they do.
 #[derive(Debug, Clone, Copy)]
-struct Line {
+struct LatencyFit {
     weight: f64,
     x: f64,
     y: f64,
@@ -60,16 +63,20 @@
     xy: f64,
 }
 
-impl Default for Line {
+impl Default for LatencyFit {
     fn default() -> Self {
-        let mut line = Self { weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
-        line.add(0.0, FIXED, PRIOR);
-        line.add(SAMPLE, FIXED + SAMPLE * FIRST, PRIOR);
-        line
+        let mut fit = Self { weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
+        fit.add(0.0, INITIAL_FIXED_MS, INITIAL_WEIGHT);
+        fit.add(
+            INITIAL_PROMPT_TOKENS,
+            INITIAL_FIXED_MS + INITIAL_PROMPT_TOKENS * INITIAL_MS_PER_TOKEN,
+            INITIAL_WEIGHT,
+        );
+        fit
     }
 }
 
-impl Line {
+impl LatencyFit {
     fn add(&mut self, x: f64, y: f64, weight: f64) {
         self.weight += weight;
         self.x += weight * x;
@@ -78,94 +85,101 @@
         self.xy += weight * x * y;
     }
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for sum in [&mut self.weight, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy] {
-            *sum *= KEPT;
+            *sum *= EVENT_DECAY;
         }
     }
 
-    /// Milliseconds a token.
-    fn rise(&self) -> f64 {
-        let spread = self.weight * self.xx - self.x * self.x;
-        let rise = (self.weight * self.xy - self.x * self.y) / spread.max(f64::MIN_POSITIVE);
-        rise.clamp(FIRST / RANGE, FIRST * RANGE)
+    fn ms_per_token(&self) -> f64 {
+        let variance = self.weight * self.xx - self.x * self.x;
+        let slope = (self.weight * self.xy - self.x * self.y) / variance.max(f64::MIN_POSITIVE);
+        slope.clamp(INITIAL_MS_PER_TOKEN / MAX_SPEED_RATIO, INITIAL_MS_PER_TOKEN * MAX_SPEED_RATIO)
     }
 
-    /// Milliseconds without any token.
-    fn begin(&self) -> f64 {
-        ((self.y - self.rise() * self.x) / self.weight).max(0.0)
+    /// The time until the first event without any prompt tokens, in milliseconds.
+    fn fixed_ms(&self) -> f64 {
+        ((self.y - self.ms_per_token() * self.x) / self.weight).max(0.0)
     }
 }
 
-/// What one router knows that bears on the number of holders.
+/// What one router knows that decides how many replicas a model needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScalingInputs {
     /// Routers that callers are spread over.
     pub routers: u32,
-    /// Requests that this router has at endpoints.
+    /// Requests for the model that this router has at endpoints.
     pub running: u32,
     /// Requests that one endpoint runs at once.
     pub slots: u32,
-    /// Requests that wait at this router, and their work.
+    /// Requests that wait for the model at this router, and their total prefill time.
     pub waiting: (u32, Duration),
-    /// Whether models wait for room.
+    /// Whether accelerator memory is scarce, so that models wait for room.
     pub memory_scarce: bool,
 }
 
-/// What so many requests of one router say of all routers: as much for each, less what chance may have added. One
-/// request of a rare model says nothing of the others, ten say that most of them have some.
-fn all(value: f64, count: f64, routers: u32) -> f64 {
-    let sure = if count > 1.0 { 1.0 - 1.0 / count.sqrt() } else { 0.0 };
-    value * (1.0 + f64::from(routers.saturating_sub(1)) * sure)
+/// Extrapolates `value`, which one router has seen in `count` requests, to all routers: as much for each, less what
+/// chance may have added. One request for a rare model says nothing about the other routers; ten say that most of them
+/// have some.
+fn extrapolate(value: f64, count: f64, routers: u32) -> f64 {
+    let confidence = if count > 1.0 { 1.0 - 1.0 / count.sqrt() } else { 0.0 };
+    value * (1.0 + f64::from(routers.saturating_sub(1)) * confidence)
 }
 
 impl Demand {
-    /// How long an endpoint takes to read a prompt of this model, with nothing in its way.
+    /// The time that an idle endpoint takes to process a prompt of this model.
     pub fn prefill_time(&self, tokens: u32) -> Duration {
-        Duration::from_secs_f64(self.line.rise() * f64::from(tokens) / 1_000.0)
+        Duration::from_secs_f64(self.latency.ms_per_token() * f64::from(tokens) / 1_000.0)
     }
 
-    /// Counts a request that came.
+    /// Counts a request that arrived at this router.
     pub fn record_arrival(&mut self, tokens: u32, now: Instant) {
-        let kept = kept(self.rated, now, SPAN);
-        self.rate = self.rate * kept + f64::from(tokens) / SPAN.as_secs_f64();
-        self.count = self.count * kept + 1.0 / SPAN.as_secs_f64();
-        self.rated = Some(now);
+        let weight = remaining_weight(self.rates_updated, now, ARRIVAL_TIME_CONSTANT);
+        self.token_rate =
+            self.token_rate * weight + f64::from(tokens) / ARRIVAL_TIME_CONSTANT.as_secs_f64();
+        self.request_rate = self.request_rate * weight + 1.0 / ARRIVAL_TIME_CONSTANT.as_secs_f64();
+        self.rates_updated = Some(now);
     }
 
-    /// Requests a second that came of late.
+    /// The recent rate of requests that arrived at this router, per second.
     pub fn request_rate(&self, now: Instant) -> f64 {
-        self.count * kept(self.rated, now, SPAN)
+        self.request_rate * remaining_weight(self.rates_updated, now, ARRIVAL_TIME_CONSTANT)
     }
 
-    /// Learns from a first event that came after `took`, where `expect` was the work before it, its own included.
-    pub fn learn(&mut self, expect: Duration, took: Duration) {
-        let expect = expect.as_secs_f64() * 1_000.0;
-        let most = (self.line.begin() + expect) * STRETCH;
-        let tokens = expect / self.line.rise();
+    /// Learns from a first event that came after `took`, where `expected` is the prefill time of the request's own prompt
+    /// and of all prompts before it.
+    pub fn learn(&mut self, expected: Duration, took: Duration) {
+        let expected = expected.as_secs_f64() * 1_000.0;
+        let max = (self.latency.fixed_ms() + expected) * MAX_LATENESS_FACTOR;
+        let tokens = expected / self.latency.ms_per_token();
         let took = took.as_secs_f64() * 1_000.0;
-        let weight = if took > self.line.begin() + expect { LATER } else { 1.0 };
-        self.line.fade();
-        self.line.add(tokens, took.min(most), weight);
+        let weight =
+            if took > self.latency.fixed_ms() + expected { LATE_EVENT_WEIGHT } else { 1.0 };
+        self.latency.decay();
+        self.latency.add(tokens, took.min(max), weight);
     }
 
-    /// The work that comes through so many routers, as a part of one endpoint's time.
+    /// The prefill time of the requests that arrive through all routers, as a part of one endpoint's time.
     pub fn prefill_load(&self, routers: u32, now: Instant) -> f64 {
-        let load = self.rate * kept(self.rated, now, SPAN) * self.line.rise() / 1_000.0;
-        all(load, self.request_rate(now) * SPAN.as_secs_f64(), routers)
+        let load = self.token_rate
+            * remaining_weight(self.rates_updated, now, ARRIVAL_TIME_CONSTANT)
+            * self.latency.ms_per_token()
+            / 1_000.0;
+        extrapolate(load, self.request_rate(now) * ARRIVAL_TIME_CONSTANT.as_secs_f64(), routers)
     }
 
-    /// How many endpoints should hold the model.
-    pub fn replicas_needed(&self, pressure: &ScalingInputs, now: Instant) -> u32 {
-        let ScalingInputs { routers, running, slots, waiting: (count, work), memory_scarce } =
-            *pressure;
+    /// The number of endpoints that should have the model loaded.
+    pub fn replicas_needed(&self, inputs: &ScalingInputs, now: Instant) -> u32 {
+        let ScalingInputs { routers, running, slots, waiting: (count, prefill), memory_scarce } =
+            *inputs;
         let running = f64::from(running);
-        let streams =
-            all(running, running, routers) / f64::from(slots.max(1)) / MAX_MODEL_SLOT_SHARE;
-        let wave = all(work.as_secs_f64(), f64::from(count), routers) / WAVE.as_secs_f64();
-        let reading = self.prefill_load(routers, now) / BUSY + wave;
-        // Where other models wait for room, each further holder takes it from them.
-        let needed = if memory_scarce { streams } else { reading.max(streams) };
+        let for_streams =
+            extrapolate(running, running, routers) / f64::from(slots.max(1)) / MAX_MODEL_SLOT_SHARE;
+        let for_waiting = extrapolate(prefill.as_secs_f64(), f64::from(count), routers)
+            / WAITING_PROMPTS_TARGET.as_secs_f64();
+        let for_prefill = self.prefill_load(routers, now) / MAX_PREFILL_LOAD + for_waiting;
+        // While other models wait for room, each further replica takes memory from them.
+        let needed = if memory_scarce { for_streams } else { for_prefill.max(for_streams) };
         needed.ceil().max(1.0) as u32
     }
 }
--- a/components/placement/src/demand/tests.rs
+++ b/components/placement/src/demand/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a model asks for.
+//! Tests of the demand for a model and of the replicas that it needs.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_pace_of_a_model_is_learned_from_a_few_answers() {
+async fn the_speed_of_a_model_is_learned_from_first_events() {
     for (token, fixed) in [(0.003, 5), (0.026, 5), (0.007, 45), (0.08, 20)] {
         let mut demand = Demand::default();
         for index in 0..200 {
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_that_waited_for_others_hardly_change_the_pace() {
+async fn first_events_that_waited_for_other_requests_hardly_change_the_speed() {
     let mut demand = Demand::default();
     let before = demand.prefill_time(1_000);
     for index in 0..200 {
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shift_of_demand_shows_within_a_second_and_is_forgotten_in_a_few() {
+async fn a_shift_of_demand_shows_within_a_second_and_decays_within_a_few() {
     let mut demand = Demand::default();
     for _ in 0..43 {
         demand.record_arrival(650, Instant::now());
@@ -45,11 +45,11 @@
     }
     let load = demand.prefill_load(1, Instant::now());
     assert!((0.4..0.9).contains(&load), "{load}");
-    let quiet = quiet();
-    assert!(demand.replicas_needed(&ScalingInputs { routers: 2, ..quiet }, Instant::now()) >= 2);
+    let idle = idle();
+    assert!(demand.replicas_needed(&ScalingInputs { routers: 2, ..idle }, Instant::now()) >= 2);
     assert_eq!(
         demand.replicas_needed(
-            &ScalingInputs { routers: 2, memory_scarce: true, ..quiet },
+            &ScalingInputs { routers: 2, memory_scarce: true, ..idle },
             Instant::now()
         ),
         1
@@ -58,24 +58,24 @@
     assert!(demand.prefill_load(1, Instant::now()) < 0.05);
 }
 
-fn quiet() -> ScalingInputs {
+fn idle() -> ScalingInputs {
     ScalingInputs { routers: 4, running: 0, slots: 64, waiting: (0, ms(0)), memory_scarce: false }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rare_model_needs_one_holder_however_many_routers_there_are() {
+async fn a_rare_model_needs_one_replica_however_many_routers_there_are() {
     let mut demand = Demand::default();
     demand.record_arrival(2_600, Instant::now());
-    let rare = ScalingInputs { routers: 27, running: 1, waiting: (1, ms(80)), ..quiet() };
+    let rare = ScalingInputs { routers: 27, running: 1, waiting: (1, ms(80)), ..idle() };
     assert_eq!(demand.replicas_needed(&rare, Instant::now()), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wave_that_waits_and_many_streams_need_several_holders() {
+async fn many_waiting_requests_or_many_streams_need_several_replicas() {
     let (demand, now) = (Demand::default(), Instant::now());
-    // Fifty callers at each router come back for a busy model after a loss of power.
-    let wave =
-        demand.replicas_needed(&ScalingInputs { waiting: (50, ms(17) * 50), ..quiet() }, now);
-    assert!((5..=7).contains(&wave), "{wave}");
-    assert_eq!(demand.replicas_needed(&ScalingInputs { running: 25, ..quiet() }, now), 3);
+    // At each router fifty callers return for a busy model after a power failure.
+    let for_waiting =
+        demand.replicas_needed(&ScalingInputs { waiting: (50, ms(17) * 50), ..idle() }, now);
+    assert!((5..=7).contains(&for_waiting), "{for_waiting}");
+    assert_eq!(demand.replicas_needed(&ScalingInputs { running: 25, ..idle() }, now), 3);
 }
--- a/components/placement/src/fixture.rs
+++ b/components/placement/src/fixture.rs
@@ -1,4 +1,4 @@
-//! Sites for tests.
+//! Endpoints for tests.
 
 use std::time::Duration;
 
@@ -16,19 +16,19 @@
     text.parse().expect("a name")
 }
 
-/// Endpoints of one service with room for two models each.
-pub(crate) struct Site {
+/// Endpoints of one service, each with room for two models.
+pub(crate) struct TestEndpoints {
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) holdings: Vec<Holdings>,
-    pub(crate) total: Vec<u32>,
-    pub(crate) ahead: Vec<Duration>,
+    pub(crate) total_running: Vec<u32>,
+    pub(crate) backlog: Vec<Duration>,
     pub(crate) failures: Vec<f64>,
-    pub(crate) room: Vec<Duration>,
-    pub(crate) able: Vec<bool>,
-    models: bool,
+    pub(crate) room_wait: Vec<Duration>,
+    pub(crate) can_load: Vec<bool>,
+    has_models: bool,
 }
 
-impl Site {
+impl TestEndpoints {
     pub(crate) fn new(count: usize) -> Self {
         let endpoint = |index: usize| Endpoint {
             id: format!("i-{index}").parse().expect("an id"),
@@ -43,17 +43,17 @@
         Self {
             endpoints: (0..count).map(endpoint).collect(),
             holdings: vec![Holdings::default(); count],
-            total: vec![0; count],
-            ahead: vec![Duration::ZERO; count],
+            total_running: vec![0; count],
+            backlog: vec![Duration::ZERO; count],
             failures: vec![0.0; count],
-            room: vec![Duration::ZERO; count],
-            able: vec![true; count],
-            models: true,
+            room_wait: vec![Duration::ZERO; count],
+            can_load: vec![true; count],
+            has_models: true,
         }
     }
 
-    pub(crate) fn plain(count: usize) -> Self {
-        Self { models: false, ..Self::new(count) }
+    pub(crate) fn without_models(count: usize) -> Self {
+        Self { has_models: false, ..Self::new(count) }
     }
 
     pub(crate) fn hold(&mut self, index: usize, model: &str, adapters: &[&str]) {
@@ -68,20 +68,20 @@
     pub(crate) fn candidates(&self) -> Vec<Candidate<'_>> {
         let candidate = |(index, endpoint)| Candidate {
             endpoint,
-            holdings: self.models.then(|| &self.holdings[index]),
+            holdings: self.has_models.then(|| &self.holdings[index]),
             running: 0,
-            total_running: self.total[index],
-            backlog: self.ahead[index],
+            total_running: self.total_running[index],
+            backlog: self.backlog[index],
             failures: self.failures[index],
             queued_models: 0,
-            room_wait: self.room[index],
-            can_load: self.able[index],
+            room_wait: self.room_wait[index],
+            can_load: self.can_load[index],
         };
         self.endpoints.iter().enumerate().map(candidate).collect()
     }
 }
 
-/// Models `a` to `h`, each half as large as an endpoint.
+/// An engine with the models `a` to `h`; two of them fit into its accelerator memory.
 pub(crate) fn engine() -> Engine {
     let spec = ModelSpec {
         weights: Size(40),
--- a/components/placement/src/load_target.rs
+++ b/components/placement/src/load_target.rs
@@ -1,7 +1,7 @@
-//! Where a model is loaded that no endpoint holds.
+//! Which endpoint loads a model that no endpoint holds, or that needs more replicas.
 //!
-//! Load pattern: the first requests of a model come in a burst through many routers at once. All of them rank the
-//! endpoints alike, so that they ask one loader and share one load, without asking each other first.
+//! Load pattern: the first requests for a model arrive in a burst through many routers at once. All routers rank the
+//! endpoints alike, so without coordination they ask the same loader and share one load.
 
 use std::time::Duration;
 
@@ -11,34 +11,35 @@
 
 use crate::Candidate;
 
-/// Where to load a model.
+/// An endpoint to load a model on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadTarget {
-    /// The candidate.
+    /// The index of the candidate.
     pub index: usize,
     /// Where the weights come from.
     pub tier: Tier,
-    /// When it is expected to be ready.
+    /// The expected time until the model is ready.
     pub ready_in: Duration,
 }
 
-/// What a model that waits at a loader costs the next one: a load from disk with its order.
-const TURN: Duration = Duration::from_millis(500);
-/// Making room costs an order more.
-const ROOM: Duration = Duration::from_millis(150);
-/// Requests in flight make it likely that room must be waited for.
-const RUN: Duration = Duration::from_millis(15);
+/// The delay by each model that is queued at the loader: a load from disk, with its order.
+const QUEUED_MODEL_DELAY: Duration = Duration::from_millis(500);
+/// The delay by the additional order that makes room.
+const EVICTION_ORDER_DELAY: Duration = Duration::from_millis(150);
+/// The delay by each request of this router that runs on the endpoint: running requests make it likely that the load has
+/// to wait for room.
+const RUNNING_REQUEST_DELAY: Duration = Duration::from_millis(15);
 
-/// Where the weights of a further holder may come from.
+/// Where the weights of a replica may come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadSource {
-    /// From an endpoint's own copies.
+    /// From the endpoint's own copies.
     CopiesOnly,
     /// Also from the weight store, if no endpoint keeps a copy.
     CopiesOrStore,
 }
 
-/// The best endpoint to load a model on.
+/// Chooses the best endpoint to load a model on.
 pub(crate) fn choose_load_target(
     candidates: &[Candidate<'_>],
     id: &ModelId,
@@ -48,13 +49,14 @@
     choose_load_targets(candidates, id, engine, source, 1).pop()
 }
 
-/// The best endpoints to load a model on at once, at most so many: the first from anywhere, the others from copies.
+/// Chooses at most `max` endpoints to load a model on at once, the best first; only the first one may load from the
+/// weight store, the others load from copies.
 pub fn choose_load_targets(
     candidates: &[Candidate<'_>],
     id: &ModelId,
     engine: &Engine,
     source: LoadSource,
-    most: usize,
+    max: usize,
 ) -> Vec<LoadTarget> {
     let Some(spec) = engine.model(&id.model) else { return Vec::new() };
     let key = id.model.as_str();
@@ -63,25 +65,29 @@
         LoadSource::CopiesOnly => false,
         LoadSource::CopiesOrStore => !has_copy(candidates, &id.model),
     };
-    let all = able.filter_map(|(index, candidate)| {
-        let (tier, expect) = expected(candidate, candidate.holdings?, &id.model, spec, engine);
-        let arriving = candidate.holdings?.loading.as_ref().is_some_and(|l| l.model == id.model);
-        let allowed = tier != Tier::Store || arriving || store;
-        allowed.then(|| (LoadTarget { index, tier, ready_in: expect }, candidate.rank(key)))
+    let targets = able.filter_map(|(index, candidate)| {
+        let (tier, ready_in) =
+            estimate_load(candidate, candidate.holdings?, &id.model, spec, engine);
+        let is_loading = candidate.holdings?.loading.as_ref().is_some_and(|l| l.model == id.model);
+        let allowed = tier != Tier::Store || is_loading || store;
+        allowed.then(|| (LoadTarget { index, tier, ready_in }, candidate.rank(key)))
     });
-    let mut all: Vec<(LoadTarget, u64)> = all.collect();
-    all.sort_by_key(|(wake, rank)| (wake.ready_in, *rank));
-    let best = all.into_iter().map(|(wake, _)| wake).take(most.max(1)).enumerate();
-    best.filter(|(place, wake)| *place == 0 || wake.tier < Tier::Store).map(|(_, w)| w).collect()
+    let mut targets: Vec<(LoadTarget, u64)> = targets.collect();
+    targets.sort_by_key(|(target, rank)| (target.ready_in, *rank));
+    let best = targets.into_iter().map(|(target, _)| target).take(max.max(1)).enumerate();
+    best.filter(|(place, target)| *place == 0 || target.tier < Tier::Store)
+        .map(|(_, t)| t)
+        .collect()
 }
 
 /// Whether an endpoint holds a model or keeps a copy of it.
 pub fn has_copy(candidates: &[Candidate<'_>], model: &ModelName) -> bool {
-    let mut held = candidates.iter().filter_map(|candidate| candidate.holdings);
-    held.any(|held| held.tier(model) != Tier::Store)
+    let mut holdings = candidates.iter().filter_map(|candidate| candidate.holdings);
+    holdings.any(|held| held.tier(model) != Tier::Store)
 }
 
-fn expected(
+/// Estimates where an endpoint would load a model from, and how long until the model is ready.
+fn estimate_load(
     candidate: &Candidate<'_>,
     holdings: &Holdings,
     model: &ModelName,
@@ -91,17 +97,23 @@
     let tier = holdings.tier(model);
     let load = tier.load(spec);
     if tier == Tier::Adapter {
-        return (tier, load + RUN * candidate.running);
+        return (tier, load + RUNNING_REQUEST_DELAY * candidate.running);
     }
     if let Some(loading) = &holdings.loading
         && loading.model == *model
     {
         return (tier, loading.left);
     }
-    let before = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.left);
-    let free = candidate.free(engine) >= spec.weights;
-    let room = if free { Duration::ZERO } else { ROOM + candidate.room_wait };
-    (tier, load + before + TURN * candidate.queued_models + room + RUN * candidate.running)
+    let current_load = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.left);
+    let has_room = candidate.free_memory(engine) >= spec.weights;
+    let room = if has_room { Duration::ZERO } else { EVICTION_ORDER_DELAY + candidate.room_wait };
+    (
+        tier,
+        load + current_load
+            + QUEUED_MODEL_DELAY * candidate.queued_models
+            + room
+            + RUNNING_REQUEST_DELAY * candidate.running,
+    )
 }
 
 #[cfg(test)]
--- a/components/placement/src/load_target/tests.rs
+++ b/components/placement/src/load_target/tests.rs
@@ -1,104 +1,119 @@
-//! Tests of choosing where a model is loaded.
+//! Tests of choosing the endpoint that loads a model.
 
 use super::*;
-use crate::fixture::{Site, engine, name};
+use crate::fixture::{TestEndpoints, engine, name};
 
 fn id(text: &str) -> ModelId {
     text.parse().expect("an id")
 }
 
 #[test]
-fn a_copy_goes_before_the_weight_store_also_where_others_have_more_room() {
-    let mut site = Site::new(3);
-    site.copy(2, "a");
-    site.hold(2, "b", &[]);
-    site.hold(2, "c", &[]);
-    let wake =
-        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
-            .expect("a place");
-    assert_eq!((wake.index, wake.tier), (2, Tier::Disk));
+fn an_endpoint_with_a_copy_is_preferred_to_endpoints_with_more_room() {
+    let mut endpoints = TestEndpoints::new(3);
+    endpoints.copy(2, "a");
+    endpoints.hold(2, "b", &[]);
+    endpoints.hold(2, "c", &[]);
+    let target =
+        choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
+            .expect("a target");
+    assert_eq!((target.index, target.tier), (2, Tier::Disk));
 }
 
 #[test]
-fn the_weight_store_is_not_used_while_a_copy_lies_on_an_endpoint_that_cannot_be_asked() {
-    let mut site = Site::new(2);
-    site.copy(0, "a");
-    site.able[0] = false;
+fn the_weight_store_is_not_used_while_an_endpoint_that_cannot_load_keeps_a_copy() {
+    let mut endpoints = TestEndpoints::new(2);
+    endpoints.copy(0, "a");
+    endpoints.can_load[0] = false;
     assert_eq!(
-        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore),
+        choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore),
         None
     );
 }
 
 #[test]
-fn the_weight_store_is_used_only_with_a_free_lane() {
-    let site = Site::new(2);
+fn the_weight_store_is_used_only_if_the_source_allows_it() {
+    let endpoints = TestEndpoints::new(2);
     assert_eq!(
-        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly),
+        choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly),
         None
     );
-    let wake =
-        choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
-            .expect("a place");
-    assert_eq!((wake.tier, wake.ready_in), (Tier::Store, Duration::from_secs(6)));
+    let target =
+        choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore)
+            .expect("a target");
+    assert_eq!((target.tier, target.ready_in), (Tier::Store, Duration::from_secs(6)));
 }
 
 #[test]
-fn an_adapter_is_loaded_where_its_model_is() {
-    let mut site = Site::new(3);
-    site.hold(1, "a", &[]);
-    let wake =
-        choose_load_target(&site.candidates(), &id("a/x"), &engine(), LoadSource::CopiesOrStore)
-            .expect("a place");
-    assert_eq!((wake.index, wake.tier), (1, Tier::Adapter));
+fn an_adapter_is_loaded_where_its_model_is_loaded() {
+    let mut endpoints = TestEndpoints::new(3);
+    endpoints.hold(1, "a", &[]);
+    let target = choose_load_target(
+        &endpoints.candidates(),
+        &id("a/x"),
+        &engine(),
+        LoadSource::CopiesOrStore,
+    )
+    .expect("a target");
+    assert_eq!((target.index, target.tier), (1, Tier::Adapter));
 }
 
 #[test]
-fn all_routers_choose_alike_whatever_order_they_know_the_endpoints_in() {
-    let mut site = Site::new(6);
-    (0..6).for_each(|index| site.copy(index, "a"));
-    let mut candidates = site.candidates();
+fn the_choice_does_not_depend_on_the_order_of_the_endpoints() {
+    let mut endpoints = TestEndpoints::new(6);
+    (0..6).for_each(|index| endpoints.copy(index, "a"));
+    let mut candidates = endpoints.candidates();
     let first = choose_load_target(&candidates, &id("a"), &engine(), LoadSource::CopiesOrStore)
-        .expect("a place")
+        .expect("a target")
         .index;
     let chosen = candidates[first].endpoint.id.clone();
     candidates.reverse();
     let again = choose_load_target(&candidates, &id("a"), &engine(), LoadSource::CopiesOrStore)
-        .expect("a place")
+        .expect("a target")
         .index;
     assert_eq!(candidates[again].endpoint.id, chosen);
 }
 
 #[test]
-fn a_load_in_progress_is_joined() {
-    let mut site = Site::new(3);
+fn an_endpoint_that_is_loading_the_model_is_chosen() {
+    let mut endpoints = TestEndpoints::new(3);
     let left = Duration::from_secs(2);
-    site.holdings[1].loading = Some(fleet::Loading { model: name("a"), cold: true, left });
-    let wake = choose_load_target(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly)
-        .expect("a place");
-    assert_eq!((wake.index, wake.ready_in), (1, left));
+    endpoints.holdings[1].loading = Some(fleet::Loading { model: name("a"), cold: true, left });
+    let target =
+        choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly)
+            .expect("a target");
+    assert_eq!((target.index, target.ready_in), (1, left));
 }
 
 #[test]
-fn several_endpoints_are_woken_from_copies_only() {
-    let mut site = Site::new(4);
-    (0..3).for_each(|index| site.copy(index, "a"));
-    let all =
-        choose_load_targets(&site.candidates(), &id("a"), &engine(), LoadSource::CopiesOrStore, 4);
+fn several_endpoints_load_a_model_only_from_copies() {
+    let mut endpoints = TestEndpoints::new(4);
+    (0..3).for_each(|index| endpoints.copy(index, "a"));
+    let all = choose_load_targets(
+        &endpoints.candidates(),
+        &id("a"),
+        &engine(),
+        LoadSource::CopiesOrStore,
+        4,
+    );
     assert_eq!(all.len(), 3);
-    assert!(all.iter().all(|wake| wake.tier == Tier::Disk));
-    let store =
-        choose_load_targets(&site.candidates(), &id("b"), &engine(), LoadSource::CopiesOrStore, 4);
+    assert!(all.iter().all(|target| target.tier == Tier::Disk));
+    let store = choose_load_targets(
+        &endpoints.candidates(),
+        &id("b"),
+        &engine(),
+        LoadSource::CopiesOrStore,
+        4,
+    );
     assert_eq!(store.len(), 1, "one load from the weight store is enough");
 }
 
 #[test]
-fn a_further_holder_never_comes_from_the_store() {
-    let mut site = Site::new(2);
-    site.hold(0, "a", &[]);
-    let all = site.candidates();
+fn an_additional_replica_is_never_loaded_from_the_store() {
+    let mut endpoints = TestEndpoints::new(2);
+    endpoints.hold(0, "a", &[]);
+    let all = endpoints.candidates();
     assert_eq!(choose_load_target(&all[1..], &id("a"), &engine(), LoadSource::CopiesOnly), None);
     let first = choose_load_target(&all, &id("a"), &engine(), LoadSource::CopiesOrStore)
-        .expect("the holder");
+        .expect("the replica");
     assert_eq!((first.index, first.tier), (0, Tier::Adapter));
 }
--- a/components/placement/src/scale_out/tests.rs
+++ b/components/placement/src/scale_out/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of one more holder.
+//! Tests of adding a replica.
 
 use super::*;
-use crate::fixture::{Site, engine};
+use crate::fixture::{TestEndpoints, engine};
 
 const TARGET: Duration = Duration::from_millis(400);
 
@@ -9,82 +9,93 @@
     text.parse().expect("an id")
 }
 
-/// Endpoints of which the first so many hold the model `a`, all with a copy of it.
-fn site(count: usize, holders: usize) -> Site {
-    let mut site = Site::new(count);
-    (0..count).for_each(|index| site.copy(index, "a"));
-    (0..holders).for_each(|index| site.hold(index, "a", &[]));
-    site
+/// Endpoints that all keep a copy of the model `a`, the first `replicas` of which hold it.
+fn endpoints_with(count: usize, replicas: usize) -> TestEndpoints {
+    let mut endpoints = TestEndpoints::new(count);
+    (0..count).for_each(|index| endpoints.copy(index, "a"));
+    (0..replicas).for_each(|index| endpoints.hold(index, "a", &[]));
+    endpoints
 }
 
-fn decide(site: &Site, asked: &[bool], needed: usize, expect: Duration) -> Option<usize> {
+fn decide(
+    endpoints: &TestEndpoints,
+    asked: &[bool],
+    needed: usize,
+    first_event: Duration,
+) -> Option<usize> {
     let model = id("a");
-    let served = ChosenEndpoint { index: 0, first_event: expect };
-    let holders = ReplicaStatus { model: &model, asked, needed, served, target: TARGET };
-    scale_out(&site.candidates(), &engine(), &holders).map(|wake| wake.index)
+    let chosen = ChosenEndpoint { index: 0, first_event };
+    let status = ReplicaStatus { model: &model, asked, needed, chosen, target: TARGET };
+    scale_out(&endpoints.candidates(), &engine(), &status).map(|target| target.index)
 }
 
 #[test]
-fn a_model_with_enough_holders_that_are_in_time_gets_no_more() {
-    assert_eq!(decide(&site(4, 2), &[false; 4], 2, TARGET / 4), None);
+fn a_model_with_enough_replicas_that_are_in_time_gets_no_more() {
+    assert_eq!(decide(&endpoints_with(4, 2), &[false; 4], 2, TARGET / 4), None);
 }
 
 #[test]
-fn a_model_that_needs_more_holders_or_whose_holders_are_late_gets_one() {
-    for (needed, expect) in [(3, TARGET / 4), (2, TARGET)] {
-        let more = decide(&site(4, 2), &[false; 4], needed, expect).expect("one more");
-        assert!(more >= 2, "not one that holds it");
+fn a_model_with_too_few_or_late_replicas_gets_one_more() {
+    for (needed, first_event) in [(3, TARGET / 4), (2, TARGET)] {
+        let more =
+            decide(&endpoints_with(4, 2), &[false; 4], needed, first_event).expect("one more");
+        assert!(more >= 2, "not one that holds the model");
     }
 }
 
 #[test]
-fn one_that_was_asked_counts_as_there() {
+fn an_endpoint_that_was_asked_counts_as_a_replica() {
     let asked = [false, false, true, false];
-    assert_eq!(decide(&site(4, 2), &asked, 3, TARGET), None);
-    assert_eq!(decide(&site(4, 2), &asked, 4, TARGET), Some(3));
+    assert_eq!(decide(&endpoints_with(4, 2), &asked, 3, TARGET), None);
+    assert_eq!(decide(&endpoints_with(4, 2), &asked, 4, TARGET), Some(3));
 }
 
-/// The same decision, written down as its rules are told.
-fn naive(site: &Site, asked: &[bool], needed: usize, expect: Duration) -> bool {
-    let candidates = site.candidates();
+/// A straightforward implementation of the same rules.
+fn reference(
+    endpoints: &TestEndpoints,
+    asked: &[bool],
+    needed: usize,
+    first_event: Duration,
+) -> bool {
+    let candidates = endpoints.candidates();
     let (mut held, mut coming, mut free) = (0, 0, 0);
-    for (one, asked) in candidates.iter().zip(asked) {
-        let holdings = one.holdings.expect("models");
+    for (candidate, asked) in candidates.iter().zip(asked) {
+        let holdings = candidate.holdings.expect("models");
         if holdings.holds(&id("a").model) {
             held += 1;
         } else if *asked {
             coming += 1;
-        } else if one.can_load {
+        } else if candidate.can_load {
             free += 1;
         }
     }
     let late = if memory_scarce(&candidates) {
-        candidates[0].fill() > MAX_MODEL_SLOT_SHARE
+        candidates[0].slot_share() > MAX_MODEL_SLOT_SHARE
     } else {
-        expect > TARGET / 2
+        first_event > TARGET / 2
     };
     free > 0 && (held + coming < needed || (late && coming == 0))
 }
 
 proptest::proptest! {
     #[test]
-    fn decides_as_the_rules_say(
+    fn the_decision_follows_the_rules(
         count in 1_usize..8,
-        holders in 1_usize..8,
+        replicas in 1_usize..8,
         asked in proptest::collection::vec(proptest::bool::ANY, 8),
-        able in proptest::collection::vec(proptest::bool::ANY, 8),
+        can_load in proptest::collection::vec(proptest::bool::ANY, 8),
         needed in 0_usize..9,
-        expect in 0_u64..800,
-        total in 0_u32..70,
+        first_event in 0_u64..800,
+        total_running in 0_u32..70,
     ) {
-        let mut site = site(count, holders.min(count));
-        site.able.copy_from_slice(&able[..count]);
-        site.total[0] = total;
-        let (asked, expect) = (&asked[..count], Duration::from_millis(expect));
-        let more = decide(&site, asked, needed, expect);
-        proptest::prop_assert_eq!(more.is_some(), naive(&site, asked, needed, expect));
+        let mut endpoints = endpoints_with(count, replicas.min(count));
+        endpoints.can_load.copy_from_slice(&can_load[..count]);
+        endpoints.total_running[0] = total_running;
+        let (asked, first_event) = (&asked[..count], Duration::from_millis(first_event));
+        let more = decide(&endpoints, asked, needed, first_event);
+        proptest::prop_assert_eq!(more.is_some(), reference(&endpoints, asked, needed, first_event));
         if let Some(index) = more {
-            proptest::prop_assert!(index >= holders.min(count) && !asked[index]);
+            proptest::prop_assert!(index >= replicas.min(count) && !asked[index]);
         }
     }
 }
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -280,7 +280,7 @@
     let tight = placement::memory_scarce(candidates);
     let needed = peers.holders(&base.model, engine.slots, NOBODY, tight) as usize;
     let target = wanted.target;
-    let holders = ReplicaStatus { model: &base, asked: &asked, needed, served, target };
+    let holders = ReplicaStatus { model: &base, asked: &asked, needed, chosen: served, target };
     let wake = placement::scale_out(candidates, engine, &holders)?;
     let id = candidates[wake.index].endpoint.id.clone();
     Some(Ask { id, target: base, expect: wake.ready_in, cold: wake.tier == Tier::Store })
