--- a/components/loader/src/steward.rs
+++ b/components/loader/src/controller.rs
@@ -15,14 +15,14 @@
 use units::{EndpointId, Life, Revision, StorePosition};
 use web::Client;
 
-use crate::desk::Command;
-use crate::lane::{Lane, Wish};
-use crate::ledger::{Heard, Leaving, Ledger, Want};
+use crate::permit::{Lane, Wish};
 use crate::plan::{self, Next};
+use crate::router_api::Command;
+use crate::view::{Heard, Leaving, Ledger, Want};
 
 mod orders;
+mod permits;
 mod publish;
-mod turns;
 
 /// Between reports while nothing is going on.
 const CALM: Duration = Duration::from_millis(1_000);
--- a/components/loader/src/steward/orders.rs
+++ b/components/loader/src/controller/orders.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use units::{EndpointId, FencingToken};
 
-use crate::steward::{CALM, EAGER, PATIENCE, Pending, RETRY, Steward};
+use crate::controller::{CALM, EAGER, PATIENCE, Pending, RETRY, Steward};
 
 impl Steward {
     /// Gives an order, and takes note of the answer.
--- a/components/loader/src/steward/turns.rs
+++ b/components/loader/src/controller/permits.rs
@@ -3,9 +3,9 @@
 use fleet::Tier;
 use platform::Work;
 
-use crate::lane::{self, Say, Wish};
+use crate::controller::{CALM, Pending, Steward};
+use crate::permit::{self, Say, Wish};
 use crate::plan;
-use crate::steward::{CALM, Pending, Steward};
 
 impl Steward {
     /// Says what is to come from the weight store next, if that has changed, and takes note whether it may.
@@ -17,7 +17,7 @@
         });
         let same = match (&self.wished, &wish) {
             (Some(before), Some(wish)) => {
-                before.model == wish.model && wish.worth <= lane::grown(before.worth)
+                before.model == wish.model && wish.worth <= permit::grown(before.worth)
             }
             (before, wish) => before.is_none() && wish.is_none(),
         };
--- a/components/loader/src/steward/publish.rs
+++ b/components/loader/src/controller/publish.rs
@@ -6,8 +6,8 @@
 use platform::Work;
 use tokio::time::Instant;
 
+use crate::controller::Steward;
 use crate::plan;
-use crate::steward::Steward;
 
 impl Steward {
     /// Tells the routers what has changed.
--- a/components/loader/src/lib.rs
+++ b/components/loader/src/lib.rs
@@ -1,15 +1,15 @@
 //! The process beside a model server: the only one that gives it orders.
 
-mod desk;
+mod controller;
 mod fence;
-mod lane;
-mod ledger;
+mod permit;
 mod plan;
 mod queue;
 mod records;
+mod router_api;
 mod run;
 mod settings;
-mod steward;
+mod view;
 
 pub use run::run;
 pub use settings::Settings;
--- a/components/loader/src/plan.rs
+++ b/components/loader/src/plan.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use units::{ModelName, Size};
 
-use crate::ledger::{Ledger, Want};
+use crate::view::{Ledger, Want};
 
 /// A model is kept this long after it was loaded or used, so that two in turn don't push each other out.
 const KEEP: Duration = Duration::from_millis(400);
--- a/components/loader/src/plan/tests.rs
+++ b/components/loader/src/plan/tests.rs
@@ -7,7 +7,7 @@
 use platform::{Notice, Report};
 
 use super::*;
-use crate::ledger::{Heard, Leaving};
+use crate::view::{Heard, Leaving};
 
 fn name(text: &str) -> ModelName {
     text.parse().expect("a name")
--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -10,9 +10,9 @@
 use units::{Era, Revision};
 use web::ServeOptions;
 
-use crate::desk::Desk;
-use crate::lane::{Lane, Waiter};
-use crate::steward::{Steward, Token};
+use crate::controller::{Steward, Token};
+use crate::permit::{Lane, Waiter};
+use crate::router_api::Desk;
 use crate::{Settings, fence};
 
 /// Commands that wait for the steward while an order is given.
