--- a/components/loader/src/controller.rs
+++ b/components/loader/src/controller.rs
@@ -1,4 +1,4 @@
-//! The task that owns what is known of the endpoint, and gives it orders one at a time.
+//! The task that owns the loader's view of the endpoint, and gives the endpoint one order at a time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,83 +15,88 @@
 use units::{EndpointId, Life, Revision, StorePosition};
 use web::Client;
 
-use crate::permit::{Lane, Wish};
-use crate::plan::{self, Next};
+use crate::permit::{PermitHandle, PermitRequest};
+use crate::plan::{self, Action};
 use crate::router_api::Command;
-use crate::view::{Heard, Leaving, Ledger, Want};
+use crate::view::{EndpointView, Eviction, LastPoll, RequestedModel};
 
 mod orders;
 mod permits;
 mod publish;
 
-/// Between reports while nothing is going on.
-const CALM: Duration = Duration::from_millis(1_000);
-/// Between reports while an order is carried out; a load from host memory takes a few hundred milliseconds.
-const EAGER: Duration = Duration::from_millis(40);
-/// Between reports while an adapter is on its way; one takes a few milliseconds.
-const ADAPTER: Duration = Duration::from_millis(8);
-/// What an order or a report may take on the endpoint's own machine.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// A report this old is good enough to say that a model is there: routers ask for one that they found missing, and a
-/// promise that does not hold costs each of them a repeat.
-const FRESH: Duration = Duration::from_millis(100);
-/// After an order without an answer, the endpoint is asked what became of it.
-const RETRY: Duration = Duration::from_millis(100);
+/// The interval between reports while nothing is in progress. A report older than this is renewed if models are requested.
+/// It is also the retry delay for models whose order the endpoint refused, and the assumed time of a load from the weight
+/// store for a model that the configuration doesn't describe.
+const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The interval between reports while an order for a model is carried out; a load from host memory takes a few hundred
+/// milliseconds. Also the assumed duration of an unload, and of a load whose model the configuration doesn't describe.
+const ORDER_INTERVAL: Duration = Duration::from_millis(40);
+/// The interval between reports while an adapter is being loaded, which takes a few milliseconds, or a model is evicted.
+const ADAPTER_INTERVAL: Duration = Duration::from_millis(8);
+/// The timeout of orders and reports; the endpoint runs on the same instance.
+const ENDPOINT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A report up to this old suffices to answer that a model is loaded. Routers ask for models that they found missing, and
+/// a wrong answer costs each of them a retry.
+const MAX_READY_REPORT_AGE: Duration = Duration::from_millis(100);
+/// The delay after an order that was not accepted or got no answer, before the next one; until then a report shows what
+/// became of the order. Also the interval between reports while models are requested.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An order that is carried out.
+/// An order that is being carried out.
 #[derive(Debug, Clone)]
-struct Pending {
+struct PendingOrder {
     work: Work,
     target: ModelId,
     tier: Tier,
     since: Instant,
-    expect: Duration,
+    expected: Duration,
 }
 
 /// Where the loader's fencing token comes from.
 #[derive(Debug)]
-pub(crate) struct Token {
-    /// The position of the record of its start, once that is written.
+pub(crate) struct TokenSource {
+    /// The position of the loader's start record, once it is appended.
     pub(crate) start: watch::Receiver<Option<StorePosition>>,
-    /// Told when somebody has had a higher one.
-    pub(crate) fenced: Arc<Notify>,
+    /// Notified when the endpoint has refused an order since it has seen a higher token.
+    pub(crate) refused: Arc<Notify>,
 }
 
-/// Owns the endpoint's state.
+/// Owns the loader's view of the endpoint, and gives the orders.
 #[derive(Debug)]
-pub(crate) struct Steward {
+pub(crate) struct Controller {
     instance: String,
     addr: SocketAddr,
     client: Client,
-    token: Token,
-    lane: Lane,
-    /// What it last said to wait for a lane for.
-    wished: Option<Wish>,
+    token: TokenSource,
+    permit: PermitHandle,
+    /// The permit request last sent to the permit task.
+    permit_request: Option<PermitRequest>,
     commands: mpsc::Receiver<Command>,
     state: watch::Sender<State>,
     endpoint: Option<EndpointId>,
-    /// The life of the endpoint that the last report was about.
-    life: Option<Life>,
-    /// Whether the endpoint has said in this life that it leaves; no later report takes that back, since one may be older than
-    /// it is read.
-    leaving: bool,
-    /// The name under which the endpoint last refused an order: it has restarted since.
-    denied: Option<EndpointId>,
-    engine: Revision,
-    ledger: Ledger,
-    pending: Option<Pending>,
-    pause: Option<Instant>,
-    reached: Option<Instant>,
-    lost: bool,
+    /// The incarnation of the endpoint in the last report.
+    incarnation: Option<Life>,
+    /// Whether the endpoint has said in this incarnation that it is draining. No later report takes that back, since it may
+    /// be older than the time it is read.
+    draining: bool,
+    /// The id under which the endpoint last refused an order, since it has another one by now.
+    rejected_id: Option<EndpointId>,
+    engine_version: Revision,
+    view: EndpointView,
+    pending: Option<PendingOrder>,
+    /// Until when no order is given.
+    paused_until: Option<Instant>,
+    last_report: Option<Instant>,
+    unreachable: bool,
 }
 
-impl Steward {
-    /// A steward of the endpoint at this address.
+impl Controller {
+    /// Creates a controller of the endpoint at `addr`.
     pub(crate) fn new(
         instance: String,
         addr: SocketAddr,
-        token: Token,
-        lane: Lane,
+        token: TokenSource,
+        permit: PermitHandle,
         commands: mpsc::Receiver<Command>,
         state: watch::Sender<State>,
     ) -> Self {
@@ -100,196 +105,202 @@
             addr,
             client: Client::default(),
             token,
-            lane,
-            wished: None,
+            permit,
+            permit_request: None,
             commands,
             state,
             endpoint: None,
-            life: None,
-            leaving: false,
-            denied: None,
-            engine: Revision(0),
-            ledger: Ledger::default(),
+            incarnation: None,
+            draining: false,
+            rejected_id: None,
+            engine_version: Revision(0),
+            view: EndpointView::default(),
             pending: None,
-            pause: None,
-            reached: None,
-            lost: false,
+            paused_until: None,
+            last_report: None,
+            unreachable: false,
         }
     }
 
-    /// Runs until nobody can send commands any more.
+    /// Runs until all senders of commands are gone.
     pub(crate) async fn run(mut self) {
         let mut report_at = Instant::now();
         loop {
             if Instant::now() >= report_at {
-                self.report().await;
-                report_at = Instant::now() + self.pace();
+                self.update_report().await;
+                report_at = Instant::now() + self.report_interval();
             }
             if self.act().await {
-                // What an order did shows in the next report.
-                report_at = Instant::now() + self.pace();
+                // The next report shows the effect of an order.
+                report_at = Instant::now() + self.report_interval();
                 self.publish();
                 continue;
             }
             self.publish();
-            let next = report_at.min(self.first_due());
+            let next = report_at.min(self.first_deadline());
             tokio::select! {
                 command = self.commands.recv() => match command {
-                    Some(command) => self.take(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 () = tokio::time::sleep_until(next) => {}
-                Ok(()) = self.lane.granted.changed() => {}
+                Ok(()) = self.permit.granted.changed() => {}
             }
             while let Ok(command) = self.commands.try_recv() {
-                self.take(command);
+                self.handle_command(command);
             }
-            if self.ledger.report.is_none() || self.needs_report() {
+            if self.view.report.is_none() || self.needs_report() {
                 report_at = report_at.min(Instant::now());
             }
         }
     }
 
-    /// Whether the report is too old to act on: orders may have been given since.
+    /// Whether the report is too old to act on: the endpoint may have changed since.
     fn needs_report(&self) -> bool {
-        let stale = self.reached.is_none_or(|reached| reached.elapsed() > CALM);
-        !self.ledger.wants.is_empty() && stale
+        let stale = self.last_report.is_none_or(|at| at.elapsed() > IDLE_INTERVAL);
+        !self.view.requested.is_empty() && stale
     }
 
-    fn pace(&self) -> Duration {
-        let incoming = self.ledger.report.as_ref().is_some_and(|r| !r.incoming.is_empty());
-        if incoming || self.pending.as_ref().is_some_and(|p| p.target.adapter.is_some()) {
-            ADAPTER
+    fn report_interval(&self) -> Duration {
+        let loading_adapter = self.view.report.as_ref().is_some_and(|r| !r.incoming.is_empty());
+        if loading_adapter || self.pending.as_ref().is_some_and(|p| p.target.adapter.is_some()) {
+            ADAPTER_INTERVAL
         } else if self.pending.is_some() {
-            EAGER
-        } else if self.ledger.leaving.is_some() {
-            ADAPTER
-        } else if self.ledger.wants.is_empty() {
-            CALM
+            ORDER_INTERVAL
+        } else if self.view.eviction.is_some() {
+            ADAPTER_INTERVAL
+        } else if self.view.requested.is_empty() {
+            IDLE_INTERVAL
         } else {
-            RETRY
+            RETRY_DELAY
         }
     }
 
-    fn first_due(&self) -> Instant {
+    fn first_deadline(&self) -> Instant {
         let now = Instant::now();
-        self.ledger.wants.values().map(|want| want.due).min().unwrap_or(now + CALM)
+        self.view
+            .requested
+            .values()
+            .map(|requested| requested.deadline)
+            .min()
+            .unwrap_or(now + IDLE_INTERVAL)
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         let now = Instant::now();
         match command {
-            Command::Uses(poll) => {
-                self.adopt(&poll.endpoint);
-                let heard = Heard { at: now, wait: poll.wait };
-                self.ledger.routers.insert(poll.router.clone(), heard);
-                if Life::differ(self.life, poll.life) {
-                    // What it says is about requests that ended with the endpoint's life.
+            Command::Poll(poll) => {
+                self.adopt_id(&poll.endpoint);
+                let last_poll = LastPoll { at: now, wait: poll.wait };
+                self.view.routers.insert(poll.router.clone(), last_poll);
+                if Life::differ(self.incarnation, poll.life) {
+                    // The poll reports requests that ended with another incarnation of the endpoint.
                     return;
                 }
-                for usage in self.ledger.usage.values_mut() {
+                for usage in self.view.usage.values_mut() {
                     usage.running.remove(&poll.router);
                 }
-                for one in poll.uses {
-                    let usage = self.ledger.usage.entry(one.model).or_default();
-                    usage.begin(one.begun, now);
-                    if one.running > 0 {
-                        usage.last = Some(now);
-                        usage.running.insert(poll.router.clone(), (one.running, heard));
+                for model_use in poll.uses {
+                    let usage = self.view.usage.entry(model_use.model).or_default();
+                    usage.record_requests(model_use.begun, now);
+                    if model_use.running > 0 {
+                        usage.last_used = Some(now);
+                        usage.running.insert(poll.router.clone(), (model_use.running, last_poll));
                     }
                 }
             }
             Command::Ensure(ensure, reply) => {
-                self.adopt(&ensure.endpoint);
+                self.adopt_id(&ensure.endpoint);
                 if ensure.target.adapter.is_some() {
-                    self.ledger.adapters.insert(ensure.target.clone(), now);
+                    self.view.adapters_asked.insert(ensure.target.clone(), now);
                 }
                 if ensure.waiting > 0 {
-                    self.ledger.touch(&ensure.target.model, now);
+                    self.view.mark_used(&ensure.target.model, now);
                 }
-                let fresh = self.reached.is_some_and(|reached| reached.elapsed() < FRESH);
-                if self.ledger.holds(&ensure.target) {
-                    if fresh {
+                let recent = self.last_report.is_some_and(|at| at.elapsed() < MAX_READY_REPORT_AGE);
+                if self.view.holds(&ensure.target) {
+                    if recent {
                         let _ = reply.send(Verdict::Ready);
                         return;
                     }
-                    // The router may have found it missing: the endpoint is asked before it is promised.
-                    self.ledger.report = None;
+                    // The router may have found the model missing, so a new report is read before it is confirmed.
+                    self.view.report = None;
                 }
-                let due = now + ensure.within;
-                let want = self.ledger.wants.entry(ensure.target).or_insert_with(|| Want {
-                    waiters: BTreeMap::new(),
-                    rates: BTreeMap::new(),
-                    due,
-                    since: now,
-                    replies: Vec::new(),
-                });
-                want.waiters.insert(ensure.router.clone(), ensure.waiting);
-                want.rates.insert(ensure.router, ensure.rate);
-                want.due = want.due.max(due);
-                want.replies.push(reply);
+                let deadline = now + ensure.within;
+                let requested =
+                    self.view.requested.entry(ensure.target).or_insert_with(|| RequestedModel {
+                        waiting: BTreeMap::new(),
+                        request_rates: BTreeMap::new(),
+                        deadline,
+                        since: now,
+                        replies: Vec::new(),
+                    });
+                requested.waiting.insert(ensure.router.clone(), ensure.waiting);
+                requested.request_rates.insert(ensure.router, ensure.rate);
+                requested.deadline = requested.deadline.max(deadline);
+                requested.replies.push(reply);
             }
             Command::Engine(news) => {
-                if news.version > self.engine {
-                    self.engine = news.version;
-                    self.ledger.engine = Some(news.engine);
+                if news.version > self.engine_version {
+                    self.engine_version = news.version;
+                    self.view.engine = Some(news.engine);
                 }
             }
         }
     }
 
-    /// Takes the name of the endpoint from a router, unless the endpoint has denied it.
-    fn adopt(&mut self, endpoint: &EndpointId) {
-        if self.endpoint.is_none() && self.denied.as_ref() != Some(endpoint) {
+    /// Adopts the id of the endpoint that a router uses, if none is known and the endpoint hasn't rejected this one.
+    fn adopt_id(&mut self, endpoint: &EndpointId) {
+        if self.endpoint.is_none() && self.rejected_id.as_ref() != Some(endpoint) {
             self.endpoint = Some(endpoint.clone());
         }
     }
 
-    /// Asks the endpoint what it holds.
-    async fn report(&mut self) {
-        match read_report(&self.client, self.addr, PATIENCE).await {
+    /// Reads a report of the endpoint.
+    async fn update_report(&mut self) {
+        match read_report(&self.client, self.addr, ENDPOINT_TIMEOUT).await {
             Ok(mut report) => {
-                if self.lost {
-                    let after = self.reached.map_or(Duration::ZERO, |reached| reached.elapsed());
+                if self.unreachable {
+                    let after = self.last_report.map_or(Duration::ZERO, |at| at.elapsed());
                     emit(&Event::Regained {
                         dependency: Dependency::Endpoint,
                         name: &self.addr.to_string(),
                         after_ms: millis(after),
                     });
                 }
-                self.lost = false;
-                self.reached = Some(Instant::now());
-                if Life::differ(self.life, report.life) {
-                    self.restarted();
+                self.unreachable = false;
+                self.last_report = Some(Instant::now());
+                if Life::differ(self.incarnation, report.life) {
+                    self.handle_restart();
                 }
-                self.life = report.life.or(self.life);
-                self.leaving |= report.draining;
-                report.draining = self.leaving;
-                let over = self.pending.take_if(|_| !report.busy);
-                self.ledger.report = Some(report);
-                if let Some(over) = over {
-                    self.loaded(&over);
+                self.incarnation = report.life.or(self.incarnation);
+                self.draining |= report.draining;
+                report.draining = self.draining;
+                let ended = self.pending.take_if(|_| !report.busy);
+                self.view.report = Some(report);
+                if let Some(ended) = ended {
+                    self.finish_order(&ended);
                 }
-                self.settle();
+                self.answer_requests();
             }
             Err(error) => {
-                if !self.lost {
+                if !self.unreachable {
                     emit(&Event::Lost {
                         dependency: Dependency::Endpoint,
                         name: &self.addr.to_string(),
                         cause: &error.to_string(),
                     });
                 }
-                self.lost = true;
-                self.ledger.report = None;
+                self.unreachable = true;
+                self.view.report = None;
                 self.pending = None;
             }
         }
     }
 
-    /// The endpoint has started again under its id: what it ran, held, loaded or was about to drop is gone. What routers
-    /// wait for stays wanted.
-    fn restarted(&mut self) {
+    /// Handles a restart of the endpoint under the same id: what it ran, held, loaded or was about to evict is gone. Models
+    /// that routers wait for remain requested.
+    fn handle_restart(&mut self) {
         emit(&Event::Member {
             endpoint: self.endpoint.as_ref().map_or("", |id| id.as_str()),
             addr: self.addr.to_string(),
@@ -297,54 +308,54 @@
             cause: "",
         });
         self.pending = None;
-        self.pause = None;
-        self.leaving = false;
-        self.ledger.restarted();
+        self.paused_until = None;
+        self.draining = false;
+        self.view.reset_endpoint();
     }
 
-    /// Answers those whose model is there, and those whose time is over.
-    fn settle(&mut self) {
+    /// Answers requests for models that are loaded, and drops requests whose deadline has passed.
+    fn answer_requests(&mut self) {
         let now = Instant::now();
-        let ledger = &self.ledger;
+        let view = &self.view;
         let ready: Vec<ModelId> =
-            ledger.wants.keys().filter(|id| ledger.holds(id)).cloned().collect();
+            view.requested.keys().filter(|id| view.holds(id)).cloned().collect();
         for id in ready {
-            self.ledger.touch(&id.model, now);
+            self.view.mark_used(&id.model, now);
             self.answer(&id, Verdict::Ready);
         }
-        self.ledger.wants.retain(|_, want| want.due > now);
+        self.view.requested.retain(|_, requested| requested.deadline > now);
     }
 
     fn answer(&mut self, id: &ModelId, verdict: Verdict) {
-        let Some(want) = self.ledger.wants.remove(id) else { return };
-        for reply in want.replies {
+        let Some(requested) = self.view.requested.remove(id) else { return };
+        for reply in requested.replies {
             let _ = reply.send(verdict);
         }
     }
 
-    /// Does the next thing; false if there is nothing to do.
+    /// Takes the next action; returns false if there is none.
     async fn act(&mut self) -> bool {
-        self.settle();
+        self.answer_requests();
         let now = Instant::now();
-        if self.pending.is_some() || self.pause.is_some_and(|until| until > now) {
+        if self.pending.is_some() || self.paused_until.is_some_and(|until| until > now) {
             return false;
         }
-        self.ask_lane();
-        match plan::next(&self.ledger, now) {
-            Next::Rest => false,
-            Next::Spare => {
-                self.ledger.leaving = None;
+        self.update_permit();
+        match plan::next_action(&self.view, now) {
+            Action::Wait => false,
+            Action::CancelEviction => {
+                self.view.eviction = None;
                 true
             }
-            Next::Drain(model) => {
-                self.ledger.leaving = Some(Leaving { model, since: now });
+            Action::Evict(model) => {
+                self.view.eviction = Some(Eviction { model, since: now });
                 true
             }
-            Next::Refuse(id, after) => {
+            Action::Refuse(id, after) => {
                 self.answer(&id, Verdict::Refused(after));
                 true
             }
-            Next::Order(work, target) => {
+            Action::Order(work, target) => {
                 let start = *self.token.start.borrow();
                 let Some((start, endpoint)) = start.zip(self.endpoint.clone()) else {
                     return false;
--- a/components/loader/src/controller/orders.rs
+++ b/components/loader/src/controller/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that a steward gives, and what becomes of them.
+//! The orders that a controller gives, and their outcomes.
 
 use catalog::ModelId;
 use control::Verdict;
@@ -8,10 +8,12 @@
 use tokio::time::Instant;
 use units::{EndpointId, FencingToken};
 
-use crate::controller::{CALM, EAGER, PATIENCE, Pending, RETRY, Steward};
+use crate::controller::{
+    Controller, ENDPOINT_TIMEOUT, IDLE_INTERVAL, ORDER_INTERVAL, PendingOrder, RETRY_DELAY,
+};
 
-impl Steward {
-    /// Gives an order, and takes note of the answer.
+impl Controller {
+    /// Gives an order, and handles the endpoint's answer.
     pub(super) async fn order(
         &mut self,
         work: Work,
@@ -19,14 +21,14 @@
         token: FencingToken,
         endpoint: EndpointId,
     ) {
-        let sequence = self.ledger.report.as_ref().map(|report| report.sequence);
+        let sequence = self.view.report.as_ref().map(|report| report.sequence);
         let fence = Fence { holder: self.instance.clone(), token };
         let order = Order { endpoint: &endpoint, work, target: &target, sequence };
-        self.pending = Some(self.expected(work, &target));
+        self.pending = Some(self.pending_order(work, &target));
         self.publish();
-        let called = call_order(&self.client, self.addr, &fence, &order, PATIENCE).await;
+        let called = call_order(&self.client, self.addr, &fence, &order, ENDPOINT_TIMEOUT).await;
         let outcome = called.map(|(outcome, notice)| {
-            self.note_leaving(notice.leaving);
+            self.record_draining(notice.leaving);
             outcome
         });
         let given = match &outcome {
@@ -49,65 +51,66 @@
             Ok(Outcome::Accepted | Outcome::Done) => {}
             Ok(Outcome::Fenced) => {
                 self.pending = None;
-                self.pause = Some(Instant::now() + RETRY);
-                self.token.fenced.notify_one();
+                self.paused_until = Some(Instant::now() + RETRY_DELAY);
+                self.token.refused.notify_one();
             }
             Ok(Outcome::Other(id)) => {
                 self.pending = None;
-                self.denied = Some(endpoint);
+                self.rejected_id = Some(endpoint);
                 self.endpoint = id;
-                self.leaving = false;
-                self.ledger.report = None;
+                self.draining = false;
+                self.view.report = None;
             }
             Ok(Outcome::Refused(_)) => {
                 self.pending = None;
-                self.answer(&target, Verdict::Refused(CALM));
+                self.answer(&target, Verdict::Refused(IDLE_INTERVAL));
             }
-            // The report tells whether it was carried out; an order that comes late finds another sequence.
+            // The next report shows whether the order was carried out. If it arrives late, the endpoint rejects it, since its
+            // sequence number has changed.
             Ok(Outcome::Busy) | Err(_) => {
                 self.pending = None;
-                self.pause = Some(Instant::now() + RETRY);
+                self.paused_until = Some(Instant::now() + RETRY_DELAY);
             }
         }
     }
 
-    /// The endpoint has answered an order, and says whether it leaves.
-    fn note_leaving(&mut self, leaving: bool) {
-        self.leaving |= leaving;
-        if let Some(report) = &mut self.ledger.report {
-            report.draining = self.leaving;
+    /// Records whether the endpoint's answer to an order says that it is draining.
+    fn record_draining(&mut self, draining: bool) {
+        self.draining |= draining;
+        if let Some(report) = &mut self.view.report {
+            report.draining = self.draining;
         }
     }
 
-    /// Tells of a load that is over, if the model is there.
-    pub(super) fn loaded(&mut self, over: &Pending) {
-        self.end_turn(over);
-        let Some(endpoint) = self.endpoint.as_ref().filter(|_| over.work == Work::Load) else {
+    /// Handles the end of an order: releases the permit, and logs a load if the model is there.
+    pub(super) fn finish_order(&mut self, ended: &PendingOrder) {
+        self.release_permit(ended);
+        let Some(endpoint) = self.endpoint.as_ref().filter(|_| ended.work == Work::Load) else {
             return;
         };
-        if self.ledger.holds(&over.target) {
+        if self.view.holds(&ended.target) {
             emit(&Event::Loaded {
                 endpoint: endpoint.as_str(),
-                model: &over.target.to_string(),
-                tier: over.tier,
-                took_ms: millis(over.since.elapsed()),
-                expect_ms: millis(over.expect),
+                model: &ended.target.to_string(),
+                tier: ended.tier,
+                took_ms: millis(ended.since.elapsed()),
+                expect_ms: millis(ended.expected),
             });
         }
     }
 
-    /// What is expected of an order that is given now.
-    fn expected(&self, work: Work, target: &ModelId) -> Pending {
-        let spec = self.ledger.engine.as_ref().and_then(|engine| engine.model(&target.model));
-        let copies = self.ledger.report.as_ref().map(|report| &report.copies);
+    /// Describes an order that is given now, with its expected duration.
+    fn pending_order(&self, work: Work, target: &ModelId) -> PendingOrder {
+        let spec = self.view.engine.as_ref().and_then(|engine| engine.model(&target.model));
+        let copies = self.view.report.as_ref().map(|report| &report.copies);
         let tier = match &target.adapter {
             Some(_) => Tier::Adapter,
             None => copies.map_or(Tier::Store, |copies| copies.tier(&target.model)),
         };
-        let expect = match work {
-            Work::Load => spec.map_or(EAGER, |spec| tier.load(spec)),
-            Work::Unload => EAGER,
+        let expected = match work {
+            Work::Load => spec.map_or(ORDER_INTERVAL, |spec| tier.load(spec)),
+            Work::Unload => ORDER_INTERVAL,
         };
-        Pending { work, target: target.clone(), tier, since: Instant::now(), expect }
+        PendingOrder { work, target: target.clone(), tier, since: Instant::now(), expected }
     }
 }
--- a/components/loader/src/controller/permits.rs
+++ b/components/loader/src/controller/permits.rs
@@ -1,50 +1,53 @@
-//! A steward's turn at the weight store.
+//! The controller's permit to load from the weight store.
 
 use fleet::Tier;
 use platform::Work;
 
-use crate::controller::{CALM, Pending, Steward};
-use crate::permit::{self, Say, Wish};
+use crate::controller::{Controller, IDLE_INTERVAL, PendingOrder};
+use crate::permit::{self, PermitCommand, PermitRequest};
 use crate::plan;
 
-impl Steward {
-    /// Says what is to come from the weight store next, if that has changed, and takes note whether it may.
-    pub(super) fn ask_lane(&mut self) {
-        let wish = plan::cold_want(&self.ledger).map(|(model, worth)| {
-            let spec = self.ledger.engine.as_ref().and_then(|engine| engine.model(model));
-            let alone = spec.map_or(CALM, |spec| spec.cold);
-            Wish { model: model.clone(), worth, alone }
+impl Controller {
+    /// Requests a permit for the model to load from the weight store next, if that has changed, and updates which model has
+    /// the permit.
+    pub(super) fn update_permit(&mut self) {
+        let request = plan::next_store_load(&self.view).map(|(model, demand)| {
+            let spec = self.view.engine.as_ref().and_then(|engine| engine.model(model));
+            let solo_time = spec.map_or(IDLE_INTERVAL, |spec| spec.cold);
+            PermitRequest { model: model.clone(), demand, solo_time }
         });
-        let same = match (&self.wished, &wish) {
-            (Some(before), Some(wish)) => {
-                before.model == wish.model && wish.worth <= permit::grown(before.worth)
+        let same = match (&self.permit_request, &request) {
+            (Some(before), Some(request)) => {
+                before.model == request.model
+                    && request.demand <= permit::renewal_threshold(before.demand)
             }
-            (before, wish) => before.is_none() && wish.is_none(),
+            (before, request) => before.is_none() && request.is_none(),
         };
         if !same {
-            let said = wish.clone().map_or(Say::Done(None), Say::Want);
-            self.say(said);
-            self.wished = wish;
+            let command =
+                request.clone().map_or(PermitCommand::Release(None), PermitCommand::Request);
+            self.send_permit_command(command);
+            self.permit_request = request;
         }
-        let granted = self.lane.granted.borrow_and_update().clone();
-        self.ledger.lane = granted.filter(|_| self.wished.is_some());
+        let granted = self.permit.granted.borrow_and_update().clone();
+        self.view.permit = granted.filter(|_| self.permit_request.is_some());
     }
 
-    /// Gives the lane back when a load from the weight store is over, with the time that it took if the model is there.
-    pub(super) fn end_turn(&mut self, over: &Pending) {
-        if over.work != Work::Load || over.tier != Tier::Store {
+    /// Releases the permit after a load from the weight store, with the time that the load took if the model is there.
+    pub(super) fn release_permit(&mut self, ended: &PendingOrder) {
+        if ended.work != Work::Load || ended.tier != Tier::Store {
             return;
         }
-        let took = over.since.elapsed();
-        let done = self.ledger.holds(&over.target).then_some(took);
-        self.wished = None;
-        self.ledger.lane = None;
-        self.say(Say::Done(done));
+        let took = ended.since.elapsed();
+        let completed = self.view.holds(&ended.target).then_some(took);
+        self.permit_request = None;
+        self.view.permit = None;
+        self.send_permit_command(PermitCommand::Release(completed));
     }
 
-    fn say(&self, said: Say) {
-        if self.lane.say.send(said).is_err() {
-            log::warn!("loader: nobody waits for lanes any more");
+    fn send_permit_command(&self, command: PermitCommand) {
+        if self.permit.commands.send(command).is_err() {
+            log::warn!("loader: the task that requests load permits has ended");
         }
     }
 }
--- a/components/loader/src/controller/publish.rs
+++ b/components/loader/src/controller/publish.rs
@@ -1,4 +1,4 @@
-//! What a loader tells the routers.
+//! The state that a loader publishes to the routers.
 
 use control::Load;
 use events::{Event, emit};
@@ -6,36 +6,38 @@
 use platform::Work;
 use tokio::time::Instant;
 
-use crate::controller::Steward;
+use crate::controller::Controller;
 use crate::plan;
 
-impl Steward {
-    /// Tells the routers what has changed.
+impl Controller {
+    /// Updates the published state; its version increases if anything but the load has changed.
     pub(super) fn publish(&self) {
         let now = Instant::now();
-        let report = self.ledger.report.as_ref();
+        let report = self.view.report.as_ref();
         let pending = self.pending.as_ref().filter(|pending| pending.target.adapter.is_none());
         let loading = pending.filter(|p| p.work == Work::Load).map(|p| Loading {
             model: p.target.model.clone(),
             cold: p.tier == Tier::Store,
-            left: (p.since + p.expect).saturating_duration_since(now),
+            left: (p.since + p.expected).saturating_duration_since(now),
         });
-        let leaving = pending.filter(|p| p.work == Work::Unload).map(|p| p.target.model.clone());
-        let leaving = leaving.or(self.ledger.leaving.as_ref().map(|one| one.model.clone()));
-        let (running, room) = (self.ledger.all_running(), plan::room(&self.ledger, now));
+        let evicted = pending.filter(|p| p.work == Work::Unload).map(|p| p.target.model.clone());
+        let evicted =
+            evicted.or(self.view.eviction.as_ref().map(|eviction| eviction.model.clone()));
+        let (running, room) = (self.view.total_running(), plan::room_wait(&self.view, now));
         let holdings = Holdings {
             models: report.map(|report| report.models.clone()).unwrap_or_default(),
             copies: report.map(|report| report.copies.clone()).unwrap_or_default(),
             loading,
-            leaving: leaving.into_iter().collect(),
+            leaving: evicted.into_iter().collect(),
         };
-        let urgent = self.ledger.wants.values().filter(|want| want.waiting() > 0).count();
-        let waiting = u32::try_from(urgent).unwrap_or(u32::MAX);
+        let awaited =
+            self.view.requested.values().filter(|requested| requested.total_waiting() > 0).count();
+        let waiting = u32::try_from(awaited).unwrap_or(u32::MAX);
         let draining = report.is_some_and(|report| report.draining);
         let able = report.is_some()
             && !draining
             && self.token.start.borrow().is_some()
-            && self.ledger.engine.is_some();
+            && self.view.engine.is_some();
         self.state.send_if_modified(|state| {
             let same = state.holdings.models == holdings.models
                 && state.holdings.leaving == holdings.leaving
@@ -45,10 +47,10 @@
                 && state.able == able
                 && state.draining == draining
                 && state.room == room
-                && state.engine == self.engine
+                && state.engine == self.engine_version
                 && state.endpoint == self.endpoint
-                && state.life == self.life;
-            state.load = Load { waiting, running, routers: self.ledger.heard() };
+                && state.life == self.incarnation;
+            state.load = Load { waiting, running, routers: self.view.active_routers() };
             if same {
                 return false;
             }
@@ -57,9 +59,9 @@
             state.able = able;
             state.draining = draining;
             state.room = room;
-            state.engine = self.engine;
+            state.engine = self.engine_version;
             state.endpoint = self.endpoint.clone();
-            state.life = self.life;
+            state.life = self.incarnation;
             emit(&Event::Holds {
                 endpoint: state.endpoint.as_ref().map_or("", |id| id.as_str()),
                 models: state.holdings.models.len(),
--- a/components/loader/src/fence.rs
+++ b/components/loader/src/fence.rs
@@ -1,8 +1,9 @@
-//! The fencing token: made of the position of a record that the loader appends at its start, and again when it was refused
-//! for a higher one.
+//! The fencing token of a loader: the position of a record that it appends to the store when it starts, and again when
+//! the endpoint has refused an order because it has seen a higher token.
 //!
-//! Positions only grow, also when a machine is replaced, its clock steps, or the store was away in between or came back from
-//! an older copy. A loader that has none yet gives no orders; its endpoint goes on serving what it holds.
+//! Positions only grow, even if an instance is replaced, its clock steps, or the store was unreachable in between or was
+//! restored from an older copy. A loader without a token gives no orders; its endpoint continues to serve the models that
+//! it holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,44 +13,45 @@
 use tokio::sync::{Notify, watch};
 use units::{FencingToken, StorePosition};
 
-/// Where the records are: starts of loaders, each the name of its instance, and what they ask of the weight store.
+/// The topic of the loaders' records: their starts, each the name of the loader's instance, and their requests for
+/// permits to load from the weight store.
 pub(crate) const TOPIC: &str = "loader-starts";
-/// The first pause after a failed append.
-const PAUSE: Duration = Duration::from_millis(300);
-/// The longest pause: calls are paid for.
-const LONGEST: Duration = Duration::from_secs(2);
+/// The delay after the first failed append; it doubles with each further failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// The longest delay between attempts; calls to the store are paid for.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Writes that the loader has started, and again whenever it is told that somebody has had a higher token. `start` is where that
-/// stands.
-pub(crate) async fn keep(
+/// Appends a start record, and another one each time that `refused` reports a refused token. `start` has the position of
+/// the newest one, or nothing while it is being appended.
+pub(crate) async fn maintain_start_record(
     store: Store,
     instance: String,
     start: watch::Sender<Option<StorePosition>>,
-    fenced: Arc<Notify>,
+    refused: Arc<Notify>,
 ) {
     loop {
-        let written = write(&store, &instance).await;
-        emit(&Event::Token { token: FencingToken::from(written).0 });
-        start.send_replace(Some(written));
-        fenced.notified().await;
+        let position = append_start(&store, &instance).await;
+        emit(&Event::Token { token: FencingToken::from(position).0 });
+        start.send_replace(Some(position));
+        refused.notified().await;
         start.send_replace(None);
     }
 }
 
-/// Writes that the loader has started, however long that takes.
-async fn write(store: &Store, instance: &str) -> StorePosition {
-    let mut pause = PAUSE;
+/// Appends a start record; retries until the store accepts it.
+async fn append_start(store: &Store, instance: &str) -> StorePosition {
+    let mut delay = INITIAL_RETRY_DELAY;
     loop {
         match store.append(TOPIC, instance.as_bytes()).await {
-            Ok(start) => return start,
+            Ok(position) => return position,
             Err(error) => emit(&Event::Lost {
                 dependency: Dependency::Fencing,
                 name: "store",
                 cause: &error.to_string(),
             }),
         }
-        // All loaders lose the store at once, and find it back together.
-        tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
-        pause = (pause * 2).min(LONGEST);
+        // All loaders lose the store at the same time and would retry together, so the delay is random.
+        tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
--- a/components/loader/src/lib.rs
+++ b/components/loader/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process beside a model server: the only one that gives it orders.
+//! The loader: runs beside one endpoint and is the only process that orders it to load and unload models.
 
 mod controller;
 mod fence;
--- a/components/loader/src/permit.rs
+++ b/components/loader/src/permit.rs
@@ -1,4 +1,4 @@
-//! Waits for a lane of the weight store on behalf of the steward.
+//! Gets permits to load from the weight store on behalf of the controller.
 
 use std::time::Duration;
 
@@ -9,355 +9,386 @@
 use units::{Era, ModelName, StorePosition};
 
 use crate::fence::TOPIC;
-use crate::queue::{Note, RENEW};
-use crate::records::{AGAIN, Found, Records};
+use crate::queue::{PermitRecord, RENEW_INTERVAL};
+use crate::records::{REWRITE_WINDOW, ReadOutcome, Records};
 
 /// How long a read of the records waits for a new one.
-const WAIT: Duration = Duration::from_secs(3);
-/// The pause between reads for a model that callers ask for all the time: a small part of its load.
-const PACE: Duration = Duration::from_millis(150);
-/// The same for a model that few ask for, whose load may begin somewhat later: each call is paid for, and each record is
-/// read by all that wait. With one pace for all, calls to the store were twice as many on a deployment with 53 loaders.
-const CALM: Duration = Duration::from_secs(2);
-/// The same for a loader that waits for no lane, while what the store has lost is written again.
-const SOON: Duration = Duration::from_millis(500);
-/// Requests a second from which on a model is asked for all the time.
-const BUSY: f64 = 2.0;
-/// Copies of the store that it comes back from are some seconds old: what was written longer ago is in them.
-const COPIED: Duration = Duration::from_secs(30);
+const READ_WAIT: Duration = Duration::from_secs(3);
+/// The pause between reads for a model in high demand: a small part of the time of its load.
+const HIGH_DEMAND_READ_PAUSE: Duration = Duration::from_millis(150);
+/// The pause between reads for other models, whose loads may begin somewhat later: each call to the store is paid for,
+/// and each record is read by all loaders that wait. Without the longer pause, 53 loaders make twice as many calls. Also the
+/// pause after a call that failed.
+const READ_PAUSE: Duration = Duration::from_secs(2);
+/// The pause between reads by a loader that needs no permit, while lost records are being appended again.
+const SETTLING_READ_PAUSE: Duration = Duration::from_millis(500);
+/// The demand from which on a model counts as in high demand, in requests a second.
+const HIGH_DEMAND: f64 = 2.0;
+/// The copies from which the store is restored are some seconds old: records appended longer ago than this are in them.
+const RESTORE_LOSS_WINDOW: Duration = Duration::from_secs(30);
 
-/// What the steward asks for.
+/// A request of the controller for a permit.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Wish {
+pub(crate) struct PermitRequest {
     pub(crate) model: ModelName,
-    /// Requests a second that it would serve, those that wait included.
-    pub(crate) worth: f64,
+    /// Requests a second that the model would serve, plus the number of requests that wait for it.
+    pub(crate) demand: f64,
     /// How long the load takes alone.
-    pub(crate) alone: Duration,
+    pub(crate) solo_time: Duration,
 }
 
-/// What the steward says.
+/// A command of the controller.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Say {
-    /// It wants this.
-    Want(Wish),
-    /// It wants nothing any more; how long its load took, if it was done.
-    Done(Option<Duration>),
+pub(crate) enum PermitCommand {
+    /// Get a permit; this replaces an earlier request.
+    Request(PermitRequest),
+    /// Release the permit or withdraw the request; with the time of the load, if one was completed.
+    Release(Option<Duration>),
 }
 
-/// What the steward has said.
+/// The outcome of waiting for a command.
 #[derive(Debug)]
-enum Heard {
-    Said(Say),
-    /// Nothing so far.
-    Nothing,
-    /// There is no steward any more.
-    Gone,
+enum Received {
+    Command(PermitCommand),
+    NoCommand,
+    /// The controller is gone.
+    Closed,
 }
 
-impl From<Option<Say>> for Heard {
-    fn from(said: Option<Say>) -> Self {
-        said.map_or(Self::Gone, Self::Said)
+impl From<Option<PermitCommand>> for Received {
+    fn from(command: Option<PermitCommand>) -> Self {
+        command.map_or(Self::Closed, Self::Command)
     }
 }
 
-/// The steward's side.
+/// The controller's side.
 #[derive(Debug)]
-pub(crate) struct Lane {
-    pub(crate) say: mpsc::UnboundedSender<Say>,
+pub(crate) struct PermitHandle {
+    pub(crate) commands: mpsc::UnboundedSender<PermitCommand>,
     /// The model that may be loaded from the weight store now.
     pub(crate) granted: watch::Receiver<Option<ModelName>>,
 }
 
-/// The task behind it.
+/// The task that gets the permits.
 #[derive(Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct PermitTask {
     pub(crate) store: Store,
     pub(crate) instance: String,
-    /// The position of the record of the loader's start.
+    /// The position of the loader's start record.
     pub(crate) start: watch::Receiver<Option<StorePosition>>,
-    pub(crate) said: mpsc::UnboundedReceiver<Say>,
+    pub(crate) commands: mpsc::UnboundedReceiver<PermitCommand>,
     pub(crate) granted: watch::Sender<Option<ModelName>>,
-    /// The highest era of the store that a router has spoken of.
-    pub(crate) heard: watch::Receiver<Era>,
-    /// Since when the store does not answer.
-    away: Option<Instant>,
-    /// The highest of those eras on which the store has been asked.
-    checked: Era,
-    /// When what it asks for is to be written again, since the store may have lost it.
-    again: Option<Instant>,
+    /// The highest era of the store that a router has reported.
+    pub(crate) highest_era: watch::Receiver<Era>,
+    /// Since when the store has been unreachable.
+    unreachable_since: Option<Instant>,
+    /// The highest reported era after which the store has been read.
+    checked_era: Era,
+    /// When to append the request again, since the store may have lost it.
+    rewrite_at: Option<Instant>,
 }
 
-impl Waiter {
+impl PermitTask {
     pub(crate) fn new(
         store: Store,
         instance: String,
         start: watch::Receiver<Option<StorePosition>>,
-        heard: watch::Receiver<Era>,
-        said: mpsc::UnboundedReceiver<Say>,
+        highest_era: watch::Receiver<Era>,
+        commands: mpsc::UnboundedReceiver<PermitCommand>,
         granted: watch::Sender<Option<ModelName>>,
     ) -> Self {
-        let (away, checked, again) = (None, Era::default(), None);
-        Self { store, instance, start, said, granted, heard, away, checked, again }
+        let (unreachable_since, checked_era, rewrite_at) = (None, Era::default(), None);
+        Self {
+            store,
+            instance,
+            start,
+            commands,
+            granted,
+            highest_era,
+            unreachable_since,
+            checked_era,
+            rewrite_at,
+        }
     }
 
-    /// Runs until the steward is gone.
+    /// Runs until the controller is gone.
     pub(crate) async fn run(mut self) {
         let start = self.start.wait_for(Option::is_some).await.ok().and_then(|start| *start);
         let mut records = Records::new(self.store.clone(), start.unwrap_or_default());
-        // Whom there is has to be known before the store is away.
+        // The other loaders have to be known before the store becomes unreachable.
         if let Err(error) = records.read(Duration::ZERO).await {
-            log::debug!("loader: the records of others are not read yet: {error}");
+            log::debug!("loader: initial read of the other loaders' records failed: {error}");
         }
-        let mut ended: Option<Instant> = None;
+        let mut released: Option<Instant> = None;
         loop {
             let restored = tokio::select! {
-                said = self.said.recv() => {
-                    let Some(said) = said else { return };
-                    // What was said meanwhile counts.
-                    if let Say::Want(wish) = self.newest(said) {
-                        let done = self.wait(&mut records, wish).await;
+                command = self.commands.recv() => {
+                    let Some(command) = command else { return };
+                    // Commands that arrived meanwhile replace this one.
+                    if let PermitCommand::Request(request) = self.latest_command(command) {
+                        let took = self.process_request(&mut records, request).await;
                         self.granted.send_replace(None);
-                        self.end(done.map(millis)).await;
-                        ended = Some(Instant::now());
+                        self.append_release(took.map(millis)).await;
+                        released = Some(Instant::now());
                     }
                     false
                 }
-                () = later_era(&mut self.heard, records.era().max(self.checked)) => {
+                () = wait_for_later_era(&mut self.highest_era, records.era().max(self.checked_era)) => {
                     self.check_era(&mut records).await
                 }
-                read = read_soon(&mut records), if records.settling() => self.follow(read).await,
+                read = read_after_pause(&mut records), if records.is_settling() => self.handle_idle_read(read).await,
             };
-            if restored && ended.is_some_and(|at| at.elapsed() < COPIED) {
-                // That it asks for nothing any more may be lost: its lane would count as taken.
-                self.end(None).await;
+            if restored && released.is_some_and(|at| at.elapsed() < RESTORE_LOSS_WINDOW) {
+                // The release record may be lost; without it the loader's permit would count as taken.
+                self.append_release(None).await;
             }
         }
     }
 
-    /// Asks the store whether it has come back from an older copy, as a router says.
+    /// Reads the records to find out whether the store was restored from an older copy, after a router has reported a later
+    /// era; returns whether it was.
     async fn check_era(&mut self, records: &mut Records) -> bool {
-        let heard = *self.heard.borrow_and_update();
+        let era = *self.highest_era.borrow_and_update();
         let read = records.read(Duration::ZERO).await;
         if read.is_ok() {
-            self.checked = heard;
+            self.checked_era = era;
         }
-        self.follow(read).await
+        self.handle_idle_read(read).await
     }
 
-    /// Takes note of a read while the loader waits for no lane: whether the store has come back from an older copy. It reads on until
-    /// all have written again what stands: who reads that only later can't tell in which order lanes were given meanwhile.
-    async fn follow(&mut self, read: Result<Found, StoreError>) -> bool {
+    /// Handles a read by a loader that isn't waiting for a permit; returns whether the store was restored from an older copy.
+    /// After a restore such a loader, too, reads until all loaders have appended their records again: with a later read
+    /// it couldn't tell in which order permits were granted meanwhile.
+    async fn handle_idle_read(&mut self, read: Result<ReadOutcome, StoreError>) -> bool {
         match read {
-            Ok(found) => {
-                self.reached();
-                found == Found::Restored
+            Ok(outcome) => {
+                self.mark_reachable();
+                outcome == ReadOutcome::Restored
             }
             Err(error) => {
-                self.away(&error);
-                tokio::time::sleep(CALM).await;
+                self.mark_unreachable(&error);
+                tokio::time::sleep(READ_PAUSE).await;
                 false
             }
         }
     }
 
-    /// Writes that this loader asks for nothing any more.
-    async fn end(&mut self, took: Option<u64>) {
-        let end = Note::End { loader: self.instance.clone(), took };
-        if let Err(error) = self.append(&end).await {
-            self.away(&error);
+    async fn append_release(&mut self, took_ms: Option<u64>) {
+        let release = PermitRecord::Release { loader: self.instance.clone(), took_ms };
+        if let Err(error) = self.append(&release).await {
+            self.mark_unreachable(&error);
         }
     }
 
-    /// Holds a place in the queue until the steward wants nothing any more; returns how long the load took.
-    async fn wait(&mut self, records: &mut Records, mut wish: Wish) -> Option<Duration> {
+    /// Waits for a permit and holds it, until the controller releases it; returns how long the load took.
+    async fn process_request(
+        &mut self,
+        records: &mut Records,
+        mut request: PermitRequest,
+    ) -> Option<Duration> {
         let since = Instant::now();
-        let mut asked: Option<(Wish, Instant)> = None;
+        let mut appended: Option<(PermitRequest, Instant)> = None;
         loop {
-            let loading = self.granted.borrow().as_ref() == Some(&wish.model);
-            let stale = asked.as_ref().is_none_or(|(before, at)| {
-                let grown = wish.worth > grown(before.worth);
-                before.model != wish.model || grown || at.elapsed() > RENEW
+            let loading = self.granted.borrow().as_ref() == Some(&request.model);
+            let outdated = appended.as_ref().is_none_or(|(before, at)| {
+                let grown = request.demand > renewal_threshold(before.demand);
+                before.model != request.model || grown || at.elapsed() > RENEW_INTERVAL
             });
-            let again = self.again.is_some_and(|at| Instant::now() >= at);
-            if stale && !loading || again {
-                let note = Note::Ask {
+            let rewrite = self.rewrite_at.is_some_and(|at| Instant::now() >= at);
+            if outdated && !loading || rewrite {
+                let record = PermitRecord::Request {
                     loader: self.instance.clone(),
-                    model: wish.model.clone(),
-                    worth: wish.worth,
-                    alone: wish.alone,
+                    model: request.model.clone(),
+                    demand: request.demand,
+                    solo_time: request.solo_time,
                     loading,
                 };
-                match self.append(&note).await {
+                match self.append(&record).await {
                     Ok(()) => {
-                        self.reached();
-                        self.again = None;
-                        asked = Some((wish.clone(), Instant::now()));
+                        self.mark_reachable();
+                        self.rewrite_at = None;
+                        appended = Some((request.clone(), Instant::now()));
                     }
                     Err(error) if loading => {
-                        self.away(&error);
-                        self.again = Some(Instant::now() + CALM);
+                        self.mark_unreachable(&error);
+                        self.rewrite_at = Some(Instant::now() + READ_PAUSE);
                     }
-                    Err(error) => self.lost(&error, records, &wish, since),
+                    Err(error) => self.handle_store_error(&error, records, &request, since),
                 }
             }
-            // A store that takes no record is not asked for any.
-            let unsaid = stale && self.away.is_some();
-            let said = match self.listen(records, &wish, since, unsaid).await {
-                Heard::Said(said) => self.newest(said),
-                Heard::Nothing => continue,
-                Heard::Gone => return None,
+            // A store that accepts no records isn't read either.
+            let skip_read = outdated && self.unreachable_since.is_some();
+            let command = match self.next_command(records, &request, since, skip_read).await {
+                Received::Command(command) => self.latest_command(command),
+                Received::NoCommand => continue,
+                Received::Closed => return None,
             };
-            match said {
-                Say::Want(other) => {
-                    if other.model != wish.model {
+            match command {
+                PermitCommand::Request(other) => {
+                    if other.model != request.model {
                         self.granted.send_replace(None);
                     }
-                    wish = other;
+                    request = other;
                 }
-                Say::Done(took) => return took,
+                PermitCommand::Release(took) => return took,
             }
         }
     }
 
-    /// Reads the records until it is the loader's turn, and from then on only listens to the steward, and to routers that speak of
-    /// a later era of the store.
-    async fn listen(
+    /// Reads the records until the loader has a permit. After that, only waits for commands of the controller and for
+    /// routers that report a later era of the store.
+    async fn next_command(
         &mut self,
         records: &mut Records,
-        wish: &Wish,
+        request: &PermitRequest,
         since: Instant,
-        unsaid: bool,
-    ) -> Heard {
+        skip_read: bool,
+    ) -> Received {
         if self.granted.borrow().is_some() {
-            return self.load(records).await;
+            return self.hold_permit(records).await;
         }
         tokio::select! {
-            read = records.read(WAIT), if !unsaid => self.judge(read, records, wish, since),
-            said = self.said.recv() => return said.into(),
-            () = std::future::ready(()), if unsaid => {}
+            read = records.read(READ_WAIT), if !skip_read => self.handle_read(read, records, request, since),
+            command = self.commands.recv() => return command.into(),
+            () = std::future::ready(()), if skip_read => {}
         }
         if self.granted.borrow().is_some() {
-            return Heard::Nothing;
+            return Received::NoCommand;
         }
-        let pace = if wish.worth >= BUSY && self.away.is_none() { PACE } else { CALM };
+        let pause = if request.demand >= HIGH_DEMAND && self.unreachable_since.is_none() {
+            HIGH_DEMAND_READ_PAUSE
+        } else {
+            READ_PAUSE
+        };
         tokio::select! {
-            said = self.said.recv() => said.into(),
-            () = tokio::time::sleep(pace) => Heard::Nothing,
-            () = due(self.again) => Heard::Nothing,
+            command = self.commands.recv() => command.into(),
+            () = tokio::time::sleep(pause) => Received::NoCommand,
+            () = sleep_until(self.rewrite_at) => Received::NoCommand,
         }
     }
 
-    /// Listens while the loader has a lane.
-    async fn load(&mut self, records: &mut Records) -> Heard {
+    /// Waits for the next command while the loader has a permit.
+    async fn hold_permit(&mut self, records: &mut Records) -> Received {
         let restored = tokio::select! {
-            said = self.said.recv() => return said.into(),
-            () = due(self.again) => false,
-            () = later_era(&mut self.heard, records.era().max(self.checked)) => {
+            command = self.commands.recv() => return command.into(),
+            () = sleep_until(self.rewrite_at) => false,
+            () = wait_for_later_era(&mut self.highest_era, records.era().max(self.checked_era)) => {
                 self.check_era(records).await
             }
-            read = read_soon(records), if records.settling() => self.follow(read).await,
+            read = read_after_pause(records), if records.is_settling() => self.handle_idle_read(read).await,
         };
         if restored {
-            // Few have a lane, and all others have to know of it before they take one.
-            self.again = Some(Instant::now() + AGAIN.mul_f64(rand::random::<f64>() / 4.0));
+            // Few loaders have a permit, and all others have to know of it before they take one, so these use only the
+            // first quarter of the window.
+            self.rewrite_at =
+                Some(Instant::now() + REWRITE_WINDOW.mul_f64(rand::random::<f64>() / 4.0));
         }
-        Heard::Nothing
+        Received::NoCommand
     }
 
-    /// Takes note of a read: whether it is the loader's turn, the store has come back from an older copy, or it is away.
-    fn judge(
+    /// Handles a read by a loader that waits for a permit: the permit may be granted, the store restored from an older copy
+    /// or unreachable.
+    fn handle_read(
         &mut self,
-        read: Result<Found, StoreError>,
+        read: Result<ReadOutcome, StoreError>,
         records: &Records,
-        wish: &Wish,
+        request: &PermitRequest,
         since: Instant,
     ) {
         match read {
-            Ok(Found::News) => self.reached(),
-            Ok(Found::Restored) => {
-                self.reached();
-                self.again = Some(Instant::now() + AGAIN.mul_f64(rand::random()));
+            Ok(ReadOutcome::Current) => self.mark_reachable(),
+            Ok(ReadOutcome::Restored) => {
+                self.mark_reachable();
+                self.rewrite_at = Some(Instant::now() + REWRITE_WINDOW.mul_f64(rand::random()));
             }
-            Err(error) => return self.lost(&error, records, wish, since),
+            Err(error) => return self.handle_store_error(&error, records, request, since),
         }
-        if records.queue.granted(&self.instance) == Some(&wish.model) {
-            self.go(wish, since, true);
+        if records.queue.granted(&self.instance) == Some(&request.model) {
+            self.grant(request, since, true);
         }
     }
 
-    /// Takes note of a call that failed. Without the store nothing can be agreed, and the loader goes when it would be its
-    /// turn by what was read last: if all went at once, forty loads would run where one goes at full speed, and none be done.
-    fn lost(&mut self, error: &StoreError, records: &Records, wish: &Wish, since: Instant) {
-        let away = self.away(error).max(since);
-        if away.elapsed() >= records.queue.turn(&self.instance, wish.alone) {
-            self.go(wish, since, false);
+    /// Handles a call that failed while the loader waits for a permit. Without the store the loaders can't agree, so each
+    /// loader begins its load when its turn would come by the records read last. If all began at once, forty loads would
+    /// run where the store serves one at full speed, and none would complete in time.
+    fn handle_store_error(
+        &mut self,
+        error: &StoreError,
+        records: &Records,
+        request: &PermitRequest,
+        since: Instant,
+    ) {
+        let waiting_since = self.mark_unreachable(error).max(since);
+        if waiting_since.elapsed() >= records.queue.offline_delay(&self.instance, request.solo_time)
+        {
+            self.grant(request, since, false);
         }
     }
 
-    /// It is the loader's turn.
-    fn go(&self, wish: &Wish, since: Instant, agreed: bool) {
-        let (model, waited_ms) = (wish.model.as_str(), millis(since.elapsed()));
-        emit(&Event::Lane { model, worth: wish.worth, waited_ms, agreed });
-        self.granted.send_replace(Some(wish.model.clone()));
+    /// Lets the controller load the model; `agreed` tells whether the store's records grant the permit.
+    fn grant(&self, request: &PermitRequest, since: Instant, agreed: bool) {
+        let (model, waited_ms) = (request.model.as_str(), millis(since.elapsed()));
+        emit(&Event::Lane { model, worth: request.demand, waited_ms, agreed });
+        self.granted.send_replace(Some(request.model.clone()));
     }
 
-    async fn append(&self, note: &Note) -> Result<(), StoreError> {
-        let record = serde_json::to_vec(note).unwrap_or_default();
-        self.store.append(TOPIC, &record).await.map(drop)
+    async fn append(&self, record: &PermitRecord) -> Result<(), StoreError> {
+        let bytes = serde_json::to_vec(record).unwrap_or_default();
+        self.store.append(TOPIC, &bytes).await.map(drop)
     }
 
-    /// The last of what was said; a load that is over is not passed over.
-    fn newest(&mut self, mut said: Say) -> Say {
-        while !matches!(said, Say::Done(Some(_))) {
-            let Ok(later) = self.said.try_recv() else { break };
-            said = later;
+    /// The newest of the commands that have arrived; the release after a completed load is not skipped.
+    fn latest_command(&mut self, mut command: PermitCommand) -> PermitCommand {
+        while !matches!(command, PermitCommand::Release(Some(_))) {
+            let Ok(later) = self.commands.try_recv() else { break };
+            command = later;
         }
-        said
+        command
     }
 
-    /// Since when the store does not answer.
-    fn away(&mut self, error: &StoreError) -> Instant {
-        *self.away.get_or_insert_with(|| {
+    /// Notes a failed call; returns since when the store has been unreachable.
+    fn mark_unreachable(&mut self, error: &StoreError) -> Instant {
+        *self.unreachable_since.get_or_insert_with(|| {
             let (dependency, cause) = (Dependency::Lanes, error.to_string());
             emit(&Event::Lost { dependency, name: "store", cause: &cause });
             Instant::now()
         })
     }
 
-    fn reached(&mut self) {
-        if let Some(since) = self.away.take() {
+    fn mark_reachable(&mut self) {
+        if let Some(since) = self.unreachable_since.take() {
             let (dependency, after_ms) = (Dependency::Lanes, millis(since.elapsed()));
             emit(&Event::Regained { dependency, name: "store", after_ms });
         }
     }
 }
 
-/// Reads on after a while: each of hundreds of loaders does, while all of them write.
-async fn read_soon(records: &mut Records) -> Result<Found, StoreError> {
-    tokio::time::sleep(SOON).await;
+/// Reads the records after a pause, since each of hundreds of loaders reads while all of them append.
+async fn read_after_pause(records: &mut Records) -> Result<ReadOutcome, StoreError> {
+    tokio::time::sleep(SETTLING_READ_PAUSE).await;
     records.read(Duration::ZERO).await
 }
 
-/// Waits until a router speaks of a later era than this one.
-async fn later_era(heard: &mut watch::Receiver<Era>, known: Era) {
-    if heard.wait_for(|era| *era > known).await.is_err() {
-        // No router is answered any more: the loader ends.
+/// Waits until a router reports a later era than `known`.
+async fn wait_for_later_era(highest_era: &mut watch::Receiver<Era>, known: Era) {
+    if highest_era.wait_for(|era| *era > known).await.is_err() {
+        // The API for routers is gone: the loader is shutting down.
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until a moment; without one, for ever.
-async fn due(at: Option<Instant>) {
+/// Waits until `at`, or forever without one.
+async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
         None => std::future::pending().await,
     }
 }
 
-/// The worth from which on a loader asks anew: twice as much may change whose turn it is, and each call is paid for.
-pub(crate) fn grown(worth: f64) -> f64 {
-    worth * 2.0 + 1.0
+/// The demand above which a loader renews its request at once: a demand that has doubled may change the order of the
+/// loaders, and each call is paid for.
+pub(crate) fn renewal_threshold(demand: f64) -> f64 {
+    demand * 2.0 + 1.0
 }
 
 #[cfg(test)]
--- a/components/loader/src/plan.rs
+++ b/components/loader/src/plan.rs
@@ -1,10 +1,10 @@
-//! The next order: values in, values out.
+//! The next action of the controller: a pure decision, without input or output.
 //!
-//! Load pattern: bursts for models that take turns in an accelerator that can't hold all of them. Waiting requests go
-//! before what is prepared, the model first that most wait for, of equal ones that which was asked for first: how long
-//! they have waited besides was worth nothing (0.00 to -0.03 of a day, mean of 8 days on each of three deployments).
-//! Room is made by the model that was used longest ago. A model that runs requests first gets no new ones and is
-//! unloaded when they are done, since an unload waits for what runs and blocks all other orders.
+//! Load pattern: bursts for models that take turns in an accelerator that can't hold all of them. Models that requests
+//! wait for go before models that are only prefetched; among the former the one with the most waiting requests goes first,
+//! and of equal ones the one asked for first. The time that requests have waited is not considered otherwise, since that
+//! gains nothing. The model that was used longest ago is evicted. A model with running requests first gets no new ones
+//! and is unloaded when they have ended, since an unload waits for running requests and blocks all other orders.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,179 +15,201 @@
 use tokio::time::Instant;
 use units::{ModelName, Size};
 
-use crate::view::{Ledger, Want};
+use crate::view::{EndpointView, RequestedModel};
 
-/// A model is kept this long after it was loaded or used, so that two in turn don't push each other out.
-const KEEP: Duration = Duration::from_millis(400);
-/// What is prepared pushes out only what was not used for this long.
-const IDLE: Duration = Duration::from_secs(4);
-/// When to ask again if there is no room: a part of one run of a request.
-const AGAIN: Duration = Duration::from_millis(300);
-/// Routers hear within this time that a model leaves.
-const HEARD: Duration = Duration::from_millis(8);
-/// An unload is ordered after this time even if routers still count requests there.
-const DRAINED: Duration = Duration::from_millis(2_500);
-/// What a drain usually takes: the rest of a run of which a half is over.
-const USUAL: Duration = Duration::from_millis(500);
-/// A model makes room only if fewer requests come for it in this time than wait for the other one: to bring it back
-/// takes about as long.
-const RETURN: Duration = Duration::from_secs(1);
-/// Adapters on their way to one endpoint at once.
-const INCOMING: usize = 4;
+/// A model is not evicted for this long after it was loaded or used; otherwise two models with alternating requests would
+/// evict each other.
+const MIN_RESIDENCE: Duration = Duration::from_millis(400);
+/// A model that is only prefetched evicts only models that haven't been used for this long.
+const PREFETCH_MIN_IDLE: Duration = Duration::from_secs(4);
+/// When routers should retry a request for a model that can't be loaded now: a part of the duration of one request.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// The time in which routers hear of an eviction and stop sending requests to the model.
+const EVICTION_NOTICE: Duration = Duration::from_millis(8);
+/// An evicted model is unloaded after this time even if routers still report running requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The usual duration of a drain: the rest of a request of which half is over.
+const USUAL_DRAIN: Duration = Duration::from_millis(500);
+/// A model is evicted only if fewer requests arrive for it within this time than wait for the model that needs the room,
+/// since loading it again takes about as long.
+const RELOAD_TIME: Duration = Duration::from_secs(1);
+/// The number of adapters that are loaded on one endpoint at once.
+const MAX_LOADING_ADAPTERS: usize = 4;
 
-/// The next thing to do.
+/// The next action.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Next {
+pub(crate) enum Action {
     /// Give this order.
     Order(Work, ModelId),
-    /// Send this model no new requests: it makes room.
-    Drain(ModelName),
-    /// Keep the model that was to make room: nobody needs it any more.
-    Spare,
-    /// Tell those who want this to ask again later.
+    /// Begin to evict this model: routers send it no new requests.
+    Evict(ModelName),
+    /// Cancel the eviction in progress, since the room is not needed any more.
+    CancelEviction,
+    /// Tell the routers that asked for this model to retry after this time.
     Refuse(ModelId, Duration),
-    /// Nothing.
-    Rest,
+    /// Wait: there is nothing to do now.
+    Wait,
 }
 
-/// Decides what to do next.
-pub(crate) fn next(ledger: &Ledger, now: Instant) -> Next {
-    let (Some(engine), Some(report)) = (&ledger.engine, &ledger.report) else { return Next::Rest };
+/// Decides on the next action.
+pub(crate) fn next_action(view: &EndpointView, now: Instant) -> Action {
+    let (Some(engine), Some(report)) = (&view.engine, &view.report) else { return Action::Wait };
     if report.draining {
-        // It is gone before a load is worth its lane.
-        let wanted = ledger.wants.keys().next();
-        return wanted.map_or(Next::Rest, |id| Next::Refuse(id.clone(), AGAIN));
+        // The endpoint leaves before a load would be worth its permit.
+        let requested = view.requested.keys().next();
+        return requested.map_or(Action::Wait, |id| Action::Refuse(id.clone(), RETRY_AFTER));
     }
-    if let Some(adapter) = next_adapter(ledger, engine, now) {
-        return adapter;
+    if let Some(action) = next_adapter_action(view, engine, now) {
+        return action;
     }
     if report.busy {
-        return Next::Rest;
+        return Action::Wait;
     }
-    let may = |id: &ModelId| !cold(ledger, &id.model) || ledger.lane.as_ref() == Some(&id.model);
-    let mut models: Vec<(&ModelId, &Want)> =
-        ledger.wants.iter().filter(|(id, _)| !has(ledger, &id.model) && may(id)).collect();
-    models.sort_by_key(|(_, want)| (Reverse(want.waiting()), want.since));
-    let Some((id, want)) = models.first() else {
-        return if ledger.leaving.is_some() { Next::Spare } else { Next::Rest };
+    let may_load =
+        |id: &ModelId| !needs_store(view, &id.model) || view.permit.as_ref() == Some(&id.model);
+    let mut models: Vec<(&ModelId, &RequestedModel)> = view
+        .requested
+        .iter()
+        .filter(|(id, _)| !is_loaded(view, &id.model) && may_load(id))
+        .collect();
+    models.sort_by_key(|(_, requested)| (Reverse(requested.total_waiting()), requested.since));
+    let Some((id, requested)) = models.first() else {
+        return if view.eviction.is_some() { Action::CancelEviction } else { Action::Wait };
     };
     let Some(spec) = engine.model(&id.model) else {
-        return Next::Refuse((*id).clone(), AGAIN);
+        return Action::Refuse((*id).clone(), RETRY_AFTER);
     };
-    if spec.weights <= engine.memory.saturating_sub(ledger.taken()) {
-        return Next::Order(Work::Load, ModelId { model: id.model.clone(), adapter: None });
+    if spec.weights <= engine.memory.saturating_sub(view.used_memory()) {
+        return Action::Order(Work::Load, ModelId { model: id.model.clone(), adapter: None });
     }
-    match &ledger.leaving {
-        Some(leaving) if !has(ledger, &leaving.model) => Next::Spare,
-        Some(leaving) => {
-            let since = now - leaving.since;
-            let done = ledger.running(&leaving.model) == 0 && since >= HEARD;
-            if done || since >= DRAINED {
-                Next::Order(Work::Unload, ModelId { model: leaving.model.clone(), adapter: None })
+    match &view.eviction {
+        Some(eviction) if !is_loaded(view, &eviction.model) => Action::CancelEviction,
+        Some(eviction) => {
+            let since = now - eviction.since;
+            let drained = view.running(&eviction.model) == 0 && since >= EVICTION_NOTICE;
+            if drained || since >= DRAIN_TIMEOUT {
+                Action::Order(
+                    Work::Unload,
+                    ModelId { model: eviction.model.clone(), adapter: None },
+                )
             } else {
-                Next::Rest
+                Action::Wait
             }
         }
-        None => match victim(ledger, want.waiting(), now) {
-            Some(model) => Next::Drain(model),
-            None => Next::Refuse((*id).clone(), AGAIN),
+        None => match eviction_candidate(view, requested.total_waiting(), now) {
+            Some(model) => Action::Evict(model),
+            None => Action::Refuse((*id).clone(), RETRY_AFTER),
         },
     }
 }
 
-/// The model that is to come from the weight store next, with the requests a second that wait for it; one that has a
-/// lane keeps it for as long as it is wanted.
-pub(crate) fn cold_want(ledger: &Ledger) -> Option<(&ModelName, f64)> {
-    let wants = ledger.wants.iter().filter(|(id, _)| !has(ledger, &id.model));
-    let cold = wants.filter(|(id, _)| cold(ledger, &id.model));
-    let worth = |want: &Want| want.rates.values().sum::<f64>() + f64::from(want.waiting());
-    let all = cold.map(|(id, want)| (&id.model, worth(want)));
-    all.max_by(|(a, worth_a), (b, worth_b)| {
-        let has_lane = |model: &ModelName| ledger.lane.as_ref() == Some(model);
-        has_lane(a).cmp(&has_lane(b)).then(worth_a.total_cmp(worth_b)).then(b.cmp(a))
+/// The model to load from the weight store next, with its demand: requests a second plus the number of requests that wait
+/// for it. A model that has the permit stays the next one for as long as it is requested.
+pub(crate) fn next_store_load(view: &EndpointView) -> Option<(&ModelName, f64)> {
+    let requested = view.requested.iter().filter(|(id, _)| !is_loaded(view, &id.model));
+    let from_store = requested.filter(|(id, _)| needs_store(view, &id.model));
+    let demand = |requested: &RequestedModel| {
+        requested.request_rates.values().sum::<f64>() + f64::from(requested.total_waiting())
+    };
+    let models = from_store.map(|(id, requested)| (&id.model, demand(requested)));
+    models.max_by(|(a, demand_a), (b, demand_b)| {
+        let has_permit = |model: &ModelName| view.permit.as_ref() == Some(model);
+        has_permit(a).cmp(&has_permit(b)).then(demand_a.total_cmp(demand_b)).then(b.cmp(a))
     })
 }
 
-/// Whether a model comes from the weight store if it is loaded.
-fn cold(ledger: &Ledger, model: &ModelName) -> bool {
-    ledger.report.as_ref().is_some_and(|report| report.copies.tier(model) == Tier::Store)
+/// Whether a load of the model would read from the weight store.
+fn needs_store(view: &EndpointView, model: &ModelName) -> bool {
+    view.report.as_ref().is_some_and(|report| report.copies.tier(model) == Tier::Store)
 }
 
-/// How long it is likely to take until there is room for one more model.
-pub(crate) fn room(ledger: &Ledger, now: Instant) -> Duration {
-    let (Some(engine), Some(report)) = (&ledger.engine, &ledger.report) else {
+/// The expected time until there is room for one more model.
+pub(crate) fn room_wait(view: &EndpointView, now: Instant) -> Duration {
+    let (Some(engine), Some(report)) = (&view.engine, &view.report) else {
         return Duration::ZERO;
     };
     let largest = engine.models.iter().map(|(_, spec)| spec.weights).max().unwrap_or_default();
-    let free = engine.memory.saturating_sub(ledger.taken());
-    let idle = |model: &ModelName| ledger.running(model) == 0 && rested(ledger, model, KEEP, now);
+    let free = engine.memory.saturating_sub(view.used_memory());
+    let idle = |model: &ModelName| {
+        view.running(model) == 0 && running_or_idle_for(view, model, MIN_RESIDENCE, now)
+    };
     if free >= largest || report.models.iter().any(|held| idle(&held.model)) {
         Duration::ZERO
     } else {
-        USUAL
+        USUAL_DRAIN
     }
 }
 
-fn has(ledger: &Ledger, model: &ModelName) -> bool {
-    ledger.report.as_ref().is_some_and(|report| report.models.iter().any(|h| h.model == *model))
+fn is_loaded(view: &EndpointView, model: &ModelName) -> bool {
+    view.report.as_ref().is_some_and(|report| report.models.iter().any(|h| h.model == *model))
 }
 
-/// The model that makes room for one that so many requests wait for.
-fn victim(ledger: &Ledger, waiting: u32, now: Instant) -> Option<ModelName> {
-    let report = ledger.report.as_ref()?;
-    let quiet = if waiting > 0 { KEEP } else { IDLE };
-    let able = report.models.iter().map(|held| &held.model).filter(|model| {
-        let wanted =
-            ledger.wants.iter().any(|(id, want)| id.model == **model && want.waiting() > 0);
-        let missed = ledger.rate(model, now) * RETURN.as_secs_f64();
-        let spared = missed >= f64::from(waiting.max(1));
-        let idle = waiting > 0 || ledger.running(model) == 0;
-        !wanted && !spared && idle && rested(ledger, model, quiet, now)
+/// The model to evict for another one that `waiting` requests wait for.
+fn eviction_candidate(view: &EndpointView, waiting: u32, now: Instant) -> Option<ModelName> {
+    let report = view.report.as_ref()?;
+    let min_idle = if waiting > 0 { MIN_RESIDENCE } else { PREFETCH_MIN_IDLE };
+    let evictable = report.models.iter().map(|held| &held.model).filter(|model| {
+        let awaited = view
+            .requested
+            .iter()
+            .any(|(id, requested)| id.model == **model && requested.total_waiting() > 0);
+        let missed = view.request_rate(model, now) * RELOAD_TIME.as_secs_f64();
+        let worth_more = missed >= f64::from(waiting.max(1));
+        let interruptible = waiting > 0 || view.running(model) == 0;
+        !awaited && !worth_more && interruptible && running_or_idle_for(view, model, min_idle, now)
     });
-    able.min_by_key(|model| {
-        let running = ledger.running(model);
-        (running > 0, running, ledger.last(model))
-    })
-    .cloned()
+    evictable
+        .min_by_key(|model| {
+            let running = view.running(model);
+            (running > 0, running, view.last_used(model))
+        })
+        .cloned()
 }
 
-/// Whether a model was not used for some time, or is in use.
-fn rested(ledger: &Ledger, model: &ModelName, quiet: Duration, now: Instant) -> bool {
-    let running = ledger.running(model) > 0;
-    running || ledger.last(model).is_none_or(|last| now - last >= quiet)
+/// Whether a model has running requests, or hasn't been used for `min_idle`.
+fn running_or_idle_for(
+    view: &EndpointView,
+    model: &ModelName,
+    min_idle: Duration,
+    now: Instant,
+) -> bool {
+    let running = view.running(model) > 0;
+    running || view.last_used(model).is_none_or(|last| now - last >= min_idle)
 }
 
-fn next_adapter(ledger: &Ledger, engine: &Engine, now: Instant) -> Option<Next> {
-    let report = ledger.report.as_ref()?;
-    let wanted = ledger.wants.iter().find(|(id, _)| {
+fn next_adapter_action(view: &EndpointView, engine: &Engine, now: Instant) -> Option<Action> {
+    let report = view.report.as_ref()?;
+    let missing = view.requested.iter().find(|(id, _)| {
         id.adapter.is_some()
-            && has(ledger, &id.model)
-            && !ledger.holds(id)
+            && is_loaded(view, &id.model)
+            && !view.holds(id)
             && !report.incoming.contains(id)
     });
-    let (id, _) = wanted?;
-    if report.incoming.len() >= INCOMING {
+    let (id, _) = missing?;
+    if report.incoming.len() >= MAX_LOADING_ADAPTERS {
         return None;
     }
     let size = engine.model(&id.model).map_or(Size(0), |spec| spec.adapter);
-    let room = size <= engine.memory.saturating_sub(ledger.taken());
-    if room && ledger.places() < engine.adapters {
-        return Some(Next::Order(Work::Load, id.clone()));
+    let fits = size <= engine.memory.saturating_sub(view.used_memory());
+    if fits && view.adapter_count() < engine.adapters {
+        return Some(Action::Order(Work::Load, id.clone()));
     }
-    match idle_adapter(ledger, now) {
-        Some(adapter) => Some(Next::Order(Work::Unload, adapter)),
-        // An order for a model in progress is waited for; else there is no room in sight.
+    match evictable_adapter(view, now) {
+        Some(adapter) => Some(Action::Order(Work::Unload, adapter)),
+        // If the endpoint is busy with an order for a model, its end is waited for; otherwise no room will be freed.
         None if report.busy => None,
-        None => match victim(ledger, 1, now).filter(|model| *model != id.model && !room) {
-            Some(model) => Some(Next::Order(Work::Unload, ModelId { model, adapter: None })),
-            None => Some(Next::Refuse(id.clone(), AGAIN)),
-        },
+        None => {
+            match eviction_candidate(view, 1, now).filter(|model| *model != id.model && !fits) {
+                Some(model) => Some(Action::Order(Work::Unload, ModelId { model, adapter: None })),
+                None => Some(Action::Refuse(id.clone(), RETRY_AFTER)),
+            }
+        }
     }
 }
 
-/// The adapter that was asked for longest ago.
-fn idle_adapter(ledger: &Ledger, now: Instant) -> Option<ModelId> {
-    let report = ledger.report.as_ref()?;
+/// The adapter that was asked for longest ago, unless that is too recent or routers wait for it.
+fn evictable_adapter(view: &EndpointView, now: Instant) -> Option<ModelId> {
+    let report = view.report.as_ref()?;
     let held = report.models.iter().flat_map(|held| {
         let adapter = |name: &units::AdapterName| ModelId {
             model: held.model.clone(),
@@ -195,11 +217,11 @@
         };
         held.adapters.iter().map(adapter)
     });
-    let able = held.filter(|id| {
-        let last = ledger.adapters.get(id);
-        !ledger.wants.contains_key(id) && last.is_none_or(|last| now - *last >= KEEP)
+    let evictable = held.filter(|id| {
+        let last = view.adapters_asked.get(id);
+        !view.requested.contains_key(id) && last.is_none_or(|last| now - *last >= MIN_RESIDENCE)
     });
-    able.min_by_key(|id| ledger.adapters.get(id).copied())
+    evictable.min_by_key(|id| view.adapters_asked.get(id).copied())
 }
 
 #[cfg(test)]
--- a/components/loader/src/plan/tests.rs
+++ b/components/loader/src/plan/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the next order.
+//! Tests of the controller's next action.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use platform::{Notice, Report};
 
 use super::*;
-use crate::view::{Heard, Leaving};
+use crate::view::{Eviction, LastPoll};
 
 fn name(text: &str) -> ModelName {
     text.parse().expect("a name")
@@ -17,8 +17,8 @@
     text.parse().expect("an id")
 }
 
-/// An endpoint with room for two models and two adapters that holds these.
-fn ledger(models: &[(&str, &[&str])]) -> Ledger {
+/// An endpoint with room for two models and two adapters that holds `models`, each with its adapters.
+fn view_with(models: &[(&str, &[&str])]) -> EndpointView {
     let spec = ModelSpec {
         weights: Size(40),
         adapter: Size(1),
@@ -53,21 +53,26 @@
         draining: false,
         notice: Notice::default(),
     };
-    Ledger { engine: Some(engine), report: Some(report), ..Ledger::default() }
+    EndpointView { engine: Some(engine), report: Some(report), ..EndpointView::default() }
 }
 
-fn want(ledger: &mut Ledger, target: &str, waiting: u32, since: Instant) {
-    let waiters = BTreeMap::from([("router".to_owned(), waiting)]);
-    let want =
-        Want { waiters, rates: BTreeMap::new(), due: since + DRAINED, since, replies: Vec::new() };
-    ledger.wants.insert(id(target), want);
+fn request(view: &mut EndpointView, target: &str, waiting: u32, since: Instant) {
+    let waiting = BTreeMap::from([("router".to_owned(), waiting)]);
+    let requested = RequestedModel {
+        waiting,
+        request_rates: BTreeMap::new(),
+        deadline: since + DRAIN_TIMEOUT,
+        since,
+        replies: Vec::new(),
+    };
+    view.requested.insert(id(target), requested);
 }
 
-fn run(ledger: &mut Ledger, model: &str, count: u32, now: Instant) {
-    let usage = ledger.usage.entry(name(model)).or_default();
-    let heard = Heard { at: now, wait: Duration::ZERO };
-    usage.running = BTreeMap::from([("router".to_owned(), (count, heard))]);
-    usage.begin(count, now);
+fn run(view: &mut EndpointView, model: &str, count: u32, now: Instant) {
+    let usage = view.usage.entry(name(model)).or_default();
+    let poll = LastPoll { at: now, wait: Duration::ZERO };
+    usage.running = BTreeMap::from([("router".to_owned(), (count, poll))]);
+    usage.record_requests(count, now);
 }
 
 async fn later(span: Duration) -> Instant {
@@ -76,127 +81,127 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn loads_where_there_is_room() {
-    let mut ledger = ledger(&[("a", &[])]);
+async fn a_model_is_loaded_if_there_is_room() {
+    let mut view = view_with(&[("a", &[])]);
     let now = Instant::now();
-    want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("b")));
+    request(&mut view, "b", 1, now);
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("b")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn never_orders_more_than_the_memory_holds() {
-    let mut ledger = ledger(&[("a", &["x", "y"]), ("b", &[])]);
+async fn no_order_exceeds_the_memory() {
+    let mut view = view_with(&[("a", &["x", "y"]), ("b", &[])]);
     let now = Instant::now();
-    want(&mut ledger, "c", 5, now);
-    assert!(matches!(next(&ledger, now), Next::Drain(_)));
-    ledger.report.as_mut().expect("a report").models.pop();
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
-    ledger.report.as_mut().expect("a report").busy = true;
-    assert_eq!(next(&ledger, now), Next::Rest, "one order at a time");
+    request(&mut view, "c", 5, now);
+    assert!(matches!(next_action(&view, now), Action::Evict(_)));
+    view.report.as_mut().expect("a report").models.pop();
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
+    view.report.as_mut().expect("a report").busy = true;
+    assert_eq!(next_action(&view, now), Action::Wait, "one order at a time");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_model_drains_before_it_is_unloaded() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
     let start = Instant::now();
-    run(&mut ledger, "a", 1, start);
-    run(&mut ledger, "b", 9, start);
-    let now = later(KEEP).await;
-    want(&mut ledger, "c", 1, now);
-    assert_eq!(next(&ledger, now), Next::Drain(name("a")));
-    ledger.leaving = Some(Leaving { model: name("a"), since: now });
-    let now = later(HEARD).await;
-    assert_eq!(next(&ledger, now), Next::Rest, "one request runs");
-    run(&mut ledger, "a", 0, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a")));
+    run(&mut view, "a", 1, start);
+    run(&mut view, "b", 9, start);
+    let now = later(MIN_RESIDENCE).await;
+    request(&mut view, "c", 1, now);
+    assert_eq!(next_action(&view, now), Action::Evict(name("a")));
+    view.eviction = Some(Eviction { model: name("a"), since: now });
+    let now = later(EVICTION_NOTICE).await;
+    assert_eq!(next_action(&view, now), Action::Wait, "one request runs");
+    run(&mut view, "a", 0, now);
+    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_drain_that_takes_too_long_ends_all_the_same() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
+async fn a_drain_ends_after_its_timeout() {
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
     let start = Instant::now();
-    run(&mut ledger, "a", 1, start);
-    ledger.leaving = Some(Leaving { model: name("a"), since: start });
-    want(&mut ledger, "c", 1, start);
-    let now = later(DRAINED).await;
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a")));
+    run(&mut view, "a", 1, start);
+    view.eviction = Some(Eviction { model: name("a"), since: start });
+    request(&mut view, "c", 1, start);
+    let now = later(DRAIN_TIMEOUT).await;
+    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_that_many_come_for_is_kept_and_the_others_are_told_to_ask_elsewhere() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
+async fn a_model_in_high_demand_is_not_evicted_and_other_models_are_refused() {
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
     let start = Instant::now();
-    run(&mut ledger, "a", 30, start);
-    run(&mut ledger, "b", 30, start);
-    let now = later(KEEP).await;
-    want(&mut ledger, "c", 1, now);
-    assert_eq!(next(&ledger, now), Next::Refuse(id("c"), AGAIN));
+    run(&mut view, "a", 30, start);
+    run(&mut view, "b", 30, start);
+    let now = later(MIN_RESIDENCE).await;
+    request(&mut view, "c", 1, now);
+    assert_eq!(next_action(&view, now), Action::Refuse(id("c"), RETRY_AFTER));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_prepared_pushes_out_nothing_that_is_in_use() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
+async fn a_prefetched_model_evicts_no_model_in_use() {
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
     let start = Instant::now();
-    run(&mut ledger, "a", 1, start);
-    run(&mut ledger, "b", 1, start);
-    let now = later(IDLE).await;
-    run(&mut ledger, "a", 1, now);
-    want(&mut ledger, "c", 0, now);
-    assert_eq!(next(&ledger, now), Next::Drain(name("b")), "it ran nothing for long");
-    run(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Refuse(id("c"), AGAIN));
+    run(&mut view, "a", 1, start);
+    run(&mut view, "b", 1, start);
+    let now = later(PREFETCH_MIN_IDLE).await;
+    run(&mut view, "a", 1, now);
+    request(&mut view, "c", 0, now);
+    assert_eq!(next_action(&view, now), Action::Evict(name("b")), "no requests for long enough");
+    run(&mut view, "b", 1, now);
+    assert_eq!(next_action(&view, now), Action::Refuse(id("c"), RETRY_AFTER));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_burst_goes_first_and_of_equal_ones_the_one_that_waits_longest() {
-    let mut ledger = ledger(&[]);
+async fn the_model_with_the_most_waiting_requests_goes_first_then_the_one_that_waits_longest() {
+    let mut view = view_with(&[]);
     let start = Instant::now();
-    want(&mut ledger, "c", 1, start);
+    request(&mut view, "c", 1, start);
     let now = later(Duration::from_millis(500)).await;
-    want(&mut ledger, "a", 9, now);
-    want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("a")));
-    ledger.wants.remove(&id("a"));
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
+    request(&mut view, "a", 9, now);
+    request(&mut view, "b", 1, now);
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("a")));
+    view.requested.remove(&id("a"));
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_adapter_asked_for_longest_ago_makes_room() {
-    let mut ledger = ledger(&[("a", &["x", "y"])]);
+async fn the_adapter_asked_for_longest_ago_is_unloaded() {
+    let mut view = view_with(&[("a", &["x", "y"])]);
     let start = Instant::now();
-    ledger.adapters.insert(id("a/x"), start);
-    let now = later(KEEP).await;
-    ledger.adapters.insert(id("a/y"), now);
-    want(&mut ledger, "a/z", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Unload, id("a/x")));
+    view.adapters_asked.insert(id("a/x"), start);
+    let now = later(MIN_RESIDENCE).await;
+    view.adapters_asked.insert(id("a/y"), now);
+    request(&mut view, "a/z", 1, now);
+    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a/x")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_died_holds_no_model_back() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
-    run(&mut ledger, "a", 3, Instant::now());
-    assert_eq!(ledger.running(&name("a")), 3);
+async fn the_requests_of_a_crashed_router_stop_counting() {
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
+    run(&mut view, "a", 3, Instant::now());
+    assert_eq!(view.running(&name("a")), 3);
     later(Duration::from_secs(4)).await;
-    assert_eq!(ledger.running(&name("a")), 0);
+    assert_eq!(view.running(&name("a")), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_needs_room_any_more() {
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
+async fn an_eviction_is_cancelled_when_the_room_is_not_needed_any_more() {
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
     let now = Instant::now();
-    ledger.leaving = Some(Leaving { model: name("a"), since: now });
-    assert_eq!(next(&ledger, now), Next::Spare);
+    view.eviction = Some(Eviction { model: name("a"), since: now });
+    assert_eq!(next_action(&view, now), Action::CancelEviction);
 }
 
-/// What the next order would take, by adding up anew all that is loaded or on its way.
-fn taken_after(ledger: &Ledger, next: &Next) -> u64 {
-    let report = ledger.report.as_ref().expect("a report");
+/// The memory used after an action, computed independently from all that is loaded or being loaded.
+fn memory_after(view: &EndpointView, action: &Action) -> u64 {
+    let report = view.report.as_ref().expect("a report");
     let models = report.models.len() as u64 * 40;
     let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
     let adapters = (held + report.incoming.len()) as u64;
-    let more = match next {
-        Next::Order(Work::Load, id) if id.adapter.is_some() => 1,
-        Next::Order(Work::Load, _) => 40,
+    let more = match action {
+        Action::Order(Work::Load, id) if id.adapter.is_some() => 1,
+        Action::Order(Work::Load, _) => 40,
         _ => 0,
     };
     models + adapters + more
@@ -204,10 +209,10 @@
 
 proptest::proptest! {
     #[test]
-    fn no_order_takes_more_than_there_is(
+    fn no_order_exceeds_the_memory_in_random_states(
         loaded in proptest::collection::vec((0_usize..4, 0_usize..3), 0..3),
         incoming in 0_usize..3,
-        wants in proptest::collection::vec((0_usize..4, 0_usize..3, 0_u32..5), 0..6),
+        requests in proptest::collection::vec((0_usize..4, 0_usize..3, 0_u32..5), 0..6),
         busy in proptest::bool::ANY,
     ) {
         const NAMES: [&str; 4] = ["a", "b", "c", "d"];
@@ -220,69 +225,69 @@
                     models.push((NAMES[model], ADAPTERS[adapters]));
                 }
             }
-            let mut ledger = ledger(&models);
+            let mut view = view_with(&models);
             let now = Instant::now();
-            let report = ledger.report.as_mut().expect("a report");
+            let report = view.report.as_mut().expect("a report");
             report.busy = busy;
             if let Some((model, _)) = models.first() {
                 report.incoming = (0..incoming).map(|n| id(&format!("{model}/in{n}"))).collect();
             }
-            for (model, adapter, waiting) in wants {
+            for (model, adapter, waiting) in requests {
                 let text = match adapter {
                     0 => NAMES[model].to_owned(),
                     n => format!("{}/w{n}", NAMES[model]),
                 };
-                want(&mut ledger, &text, waiting, now);
+                request(&mut view, &text, waiting, now);
             }
-            let next = next(&ledger, now);
-            let before = taken_after(&ledger, &Next::Rest);
-            let after = taken_after(&ledger, &next);
-            assert!(after == before || after <= 90, "{next:?}: {after}");
-            assert!(!busy || !matches!(&next, Next::Order(_, id) if id.adapter.is_none()));
+            let action = next_action(&view, now);
+            let before = memory_after(&view, &Action::Wait);
+            let after = memory_after(&view, &action);
+            assert!(after == before || after <= 90, "{action:?}: {after}");
+            assert!(!busy || !matches!(&action, Action::Order(_, id) if id.adapter.is_none()));
         });
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_an_earlier_life_ran_and_drained_keeps_nothing_waiting() {
+async fn requests_and_evictions_of_an_earlier_incarnation_delay_nothing() {
     let now = Instant::now();
-    let mut ledger = ledger(&[("a", &[]), ("b", &[])]);
-    ledger.leaving = Some(Leaving { model: name("a"), since: now });
-    let usage = ledger.usage.entry(name("b")).or_default();
-    let heard = Heard { at: now, wait: Duration::ZERO };
-    usage.running.insert("router".to_owned(), (9, heard));
-    want(&mut ledger, "c", 1, now);
-    ledger.restarted();
-    assert_eq!(ledger.all_running(), 0);
-    assert_eq!(next(&ledger, now), Next::Rest, "its report is waited for");
-    ledger.report = super::tests::ledger(&[]).report;
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("c")));
+    let mut view = view_with(&[("a", &[]), ("b", &[])]);
+    view.eviction = Some(Eviction { model: name("a"), since: now });
+    let usage = view.usage.entry(name("b")).or_default();
+    let poll = LastPoll { at: now, wait: Duration::ZERO };
+    usage.running.insert("router".to_owned(), (9, poll));
+    request(&mut view, "c", 1, now);
+    view.reset_endpoint();
+    assert_eq!(view.total_running(), 0);
+    assert_eq!(next_action(&view, now), Action::Wait, "no order before a report");
+    view.report = super::tests::view_with(&[]).report;
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_comes_from_the_weight_store_only_with_a_lane_and_what_has_a_copy_goes_on() {
+async fn a_load_from_the_weight_store_needs_a_permit_and_other_loads_do_not() {
     let now = Instant::now();
-    let mut ledger = ledger(&[]);
-    ledger.report.as_mut().expect("a report").copies.disk = vec![name("b")];
-    want(&mut ledger, "a", 9, now);
-    assert_eq!(next(&ledger, now), Next::Rest);
-    want(&mut ledger, "b", 1, now);
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("b")));
-    ledger.lane = Some(name("a"));
-    assert_eq!(next(&ledger, now), Next::Order(Work::Load, id("a")));
+    let mut view = view_with(&[]);
+    view.report.as_mut().expect("a report").copies.disk = vec![name("b")];
+    request(&mut view, "a", 9, now);
+    assert_eq!(next_action(&view, now), Action::Wait);
+    request(&mut view, "b", 1, now);
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("b")));
+    view.permit = Some(name("a"));
+    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn asks_for_the_model_that_most_come_for_and_keeps_to_the_one_that_has_a_lane() {
+async fn the_model_with_the_highest_demand_is_loaded_next_unless_another_has_the_permit() {
     let now = Instant::now();
-    let mut ledger = ledger(&[]);
-    ledger.report.as_mut().expect("a report").copies.disk.clear();
-    assert_eq!(cold_want(&ledger), None);
-    want(&mut ledger, "a", 1, now);
-    want(&mut ledger, "c", 2, now);
-    let rates = &mut ledger.wants.get_mut(&id("a")).expect("a want").rates;
+    let mut view = view_with(&[]);
+    view.report.as_mut().expect("a report").copies.disk.clear();
+    assert_eq!(next_store_load(&view), None);
+    request(&mut view, "a", 1, now);
+    request(&mut view, "c", 2, now);
+    let rates = &mut view.requested.get_mut(&id("a")).expect("a request").request_rates;
     rates.extend([("one".to_owned(), 40.0), ("other".to_owned(), 30.0)]);
-    assert_eq!(cold_want(&ledger), Some((&name("a"), 71.0)));
-    ledger.lane = Some(name("c"));
-    assert_eq!(cold_want(&ledger), Some((&name("c"), 2.0)));
+    assert_eq!(next_store_load(&view), Some((&name("a"), 71.0)));
+    view.permit = Some(name("c"));
+    assert_eq!(next_store_load(&view), Some((&name("c"), 2.0)));
 }
--- a/components/loader/src/queue.rs
+++ b/components/loader/src/queue.rs
@@ -1,12 +1,13 @@
-//! Whose turn it is to load from the weight store: values in, values out.
+//! Which loaders may load from the weight store: pure decisions, without input or output.
 //!
-//! Load pattern: a release replaces endpoints by ones without copies, or all start anew; sixty models are wanted from a
-//! store that brings in four at full speed, through loaders that know nothing of each other. Twelve at once took 18 s
-//! each instead of 6, and the one that most callers waited for was among the last.
+//! Load pattern: a release replaces endpoints by new ones without copies, or all endpoints restart. Sixty models are
+//! requested from a store that serves four loads at full speed, through loaders that don't know of each other. Twelve
+//! loads at once take 18 s each instead of 6, and the most requested model may be among the last.
 //!
-//! All loaders append to one topic of the platform's store what they ask for and what they have ended, and fold the same
-//! records in the same order: the lanes go to whom most is wanted from, and all see alike who that is. There is no
-//! election, and nothing is kept: a loader that starts again takes its place back with the record of its start.
+//! All loaders append their requests for a permit, and the ends of their loads, to one topic of the platform's store, and
+//! all apply the same records in the same order. The permits go to the loaders with the highest demand, and all loaders
+//! come to the same result. There is no leader election, and nothing else is stored: the start record of a
+//! loader that restarts withdraws its request and its permit.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,143 +18,159 @@
 use tokio::time::Instant;
 use units::ModelName;
 
-/// A load that takes so many times its own length is taken for lost with its loader, as beside this many others it
-/// would still be done.
-const LOST: u32 = 4;
-/// One that asks and is not given a lane asks anew within this time, or has gone: its place costs the others nothing
-/// until a lane is given to it, and each record is read by all that wait.
-pub(crate) const RENEW: Duration = Duration::from_secs(20);
+/// A load that takes this many times as long as it takes alone is considered lost together with its loader; while this
+/// many loads run concurrently, it would still be complete by then.
+const LOST_LOAD_FACTOR: u32 = 4;
+/// A loader without a permit renews its request within this time. A request that isn't renewed for twice this time is
+/// dropped; until a permit is granted to it, it costs the other loaders nothing. Requests are renewed no more often,
+/// since each record is read by all loaders that wait.
+pub(crate) const RENEW_INTERVAL: Duration = Duration::from_secs(20);
 
 /// A record of the topic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "note", rename_all = "kebab-case")]
-pub(crate) enum Note {
-    /// A loader asks for a lane, instead of what it asked for before.
-    Ask {
-        /// Its instance.
+pub(crate) enum PermitRecord {
+    /// A loader requests a permit; this replaces its earlier request.
+    #[serde(rename = "ask")]
+    Request {
+        /// The loader, by the name of its instance.
         loader: String,
-        /// The model.
+        /// The model to load.
         model: ModelName,
-        /// Requests a second that it would serve, those that wait included.
-        worth: f64,
+        /// Requests a second that the model would serve, plus the number of requests that wait for it.
+        #[serde(rename = "worth")]
+        demand: f64,
         /// How long the load takes alone.
+        #[serde(rename = "alone")]
         #[serde(with = "fleet::millis")]
-        alone: Duration,
-        /// Whether it has a lane already, by records that the store has lost.
+        solo_time: Duration,
+        /// Whether the loader has a permit already, by records that the store has lost.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         loading: bool,
     },
-    /// A loader asks for nothing any more.
-    End {
-        /// Its instance.
+    /// A loader needs no permit any more.
+    #[serde(rename = "end")]
+    Release {
+        /// The loader, by the name of its instance.
         loader: String,
-        /// How long its load took, if it was done.
-        took: Option<u64>,
+        /// How long its load took, in milliseconds, if it completed one.
+        #[serde(rename = "took")]
+        took_ms: Option<u64>,
     },
 }
 
+/// The newest request of a loader.
 #[derive(Debug, Clone, PartialEq)]
 struct Entry {
     model: ModelName,
-    worth: f64,
-    alone: Duration,
-    /// The place of the record among all.
-    place: u64,
-    /// When it last asked.
-    asked: Instant,
-    /// Since when it has a lane, and how many had one meanwhile.
-    lane: Option<(Instant, ConcurrentLoads)>,
+    demand: f64,
+    solo_time: Duration,
+    /// The number of the first record for this model, counted over all records.
+    position: u64,
+    /// When the loader last requested the permit.
+    requested: Instant,
+    /// Since when the loader has a permit, and how many loaders have had one during that time.
+    permit: Option<(Instant, ConcurrentLoads)>,
 }
 
 impl Entry {
-    /// What it loads, if it has a lane.
-    fn loads(&self) -> Option<ModelName> {
-        self.lane.map(|_| self.model.clone())
+    /// The model that is being loaded, if the loader has a permit.
+    fn loading_model(&self) -> Option<ModelName> {
+        self.permit.map(|_| self.model.clone())
     }
 }
 
-/// Which of two that wait goes first: a second copy of what is on its way waits for the first ones of all others.
-fn order(a: &Entry, b: &Entry, loads: &[ModelName]) -> Ordering {
-    let second = |entry: &Entry| loads.contains(&entry.model);
-    let worth = b.worth.total_cmp(&a.worth);
-    second(a).cmp(&second(b)).then(worth).then(a.place.cmp(&b.place))
+/// Compares two waiting entries; the lesser one goes first. A second copy of a model that is being loaded goes behind all
+/// models that have none on the way.
+fn compare_priority(a: &Entry, b: &Entry, loading: &[ModelName]) -> Ordering {
+    let is_second = |entry: &Entry| loading.contains(&entry.model);
+    let demand = b.demand.total_cmp(&a.demand);
+    is_second(a).cmp(&is_second(b)).then(demand).then(a.position.cmp(&b.position))
 }
 
-/// What the records say.
+/// The permits and permit requests of all loaders, by the records read so far.
 #[derive(Debug, Default)]
-pub(crate) struct Queue {
+pub(crate) struct PermitQueue {
     entries: BTreeMap<String, Entry>,
-    /// All loaders that there are records of.
+    /// All loaders that appear in the records.
     loaders: BTreeSet<String>,
-    lanes: LoadConcurrency,
-    places: u64,
-    /// Whether no lane is given to anybody, since the records do not show yet which are taken.
-    held: bool,
+    concurrency: LoadConcurrency,
+    /// The number of records applied.
+    applied: u64,
+    /// Whether no permits are granted, since the records do not show yet which ones are taken.
+    suspended: bool,
 }
 
-impl Queue {
-    /// A loader has started: it loads nothing.
-    pub(crate) fn started(&mut self, loader: &str, now: Instant) {
+impl PermitQueue {
+    /// Applies a start record: the loader has restarted and loads nothing.
+    pub(crate) fn record_start(&mut self, loader: &str, now: Instant) {
         self.loaders.insert(loader.to_owned());
         self.entries.remove(loader);
-        self.grant(now);
+        self.grant_permits(now);
     }
 
-    /// The store has come back from an older copy. Loads in progress go on: they keep their lanes, also if their loaders do not reach
-    /// the store. Those that wait ask again, and get no lane before [`Self::settled`].
-    pub(crate) fn restored(&mut self) {
-        self.entries.retain(|_, entry| entry.lane.is_some());
-        self.held = true;
+    /// Drops requests after the store was restored from an older copy. Loads in progress go on and keep their permits, even
+    /// if their loaders can't reach the store. Waiting loaders request again, and get no permit before
+    /// [`Self::end_restore`].
+    pub(crate) fn begin_restore(&mut self) {
+        self.entries.retain(|_, entry| entry.permit.is_some());
+        self.suspended = true;
     }
 
-    /// What may have been lost is written again, and read.
-    pub(crate) fn settled(&mut self) {
-        self.held = false;
+    /// Grants permits again: all records that may have been lost have been appended again and read.
+    pub(crate) fn end_restore(&mut self) {
+        self.suspended = false;
     }
 
-    /// Takes one record.
-    pub(crate) fn take(&mut self, note: Note, now: Instant) {
-        self.places += 1;
-        match note {
-            Note::Ask { loader, model, worth, alone, loading } => {
+    /// Applies one record.
+    pub(crate) fn apply(&mut self, record: PermitRecord, now: Instant) {
+        self.applied += 1;
+        match record {
+            PermitRecord::Request { loader, model, demand, solo_time, loading } => {
                 self.loaders.insert(loader.clone());
                 let before = self.entries.get(&loader).filter(|entry| entry.model == model);
-                let (place, mut lane) =
-                    before.map_or((self.places, None), |entry| (entry.place, entry.lane));
+                let (position, mut permit) =
+                    before.map_or((self.applied, None), |entry| (entry.position, entry.permit));
                 if loading {
-                    // How many ran beside it before is lost, and must not teach that the store carries more.
-                    let beside = ConcurrentLoads { min: 1, max: self.running() + 1 };
-                    lane = lane.or(Some((now, beside)));
+                    // How many loads ran before the restore is lost. A minimum of 1 keeps this load from raising the limit.
+                    let concurrent = ConcurrentLoads { min: 1, max: self.taken_permits() + 1 };
+                    permit = permit.or(Some((now, concurrent)));
                 }
-                let entry = Entry { model, worth, alone, place, asked: now, lane };
+                let entry = Entry { model, demand, solo_time, position, requested: now, permit };
                 self.entries.insert(loader, entry);
             }
-            Note::End { loader, took } => {
-                let over = self.entries.remove(&loader);
-                if let Some((entry, took)) = over.zip(took)
-                    && let Some((_, beside)) = entry.lane
+            PermitRecord::Release { loader, took_ms } => {
+                let released = self.entries.remove(&loader);
+                if let Some((entry, took_ms)) = released.zip(took_ms)
+                    && let Some((_, concurrent)) = entry.permit
                 {
-                    self.lanes.learn(Duration::from_millis(took), entry.alone, beside);
+                    self.concurrency.learn(
+                        Duration::from_millis(took_ms),
+                        entry.solo_time,
+                        concurrent,
+                    );
                 }
             }
         }
-        self.grant(now);
+        self.grant_permits(now);
     }
 
-    /// The model that a loader may load from the weight store now.
+    /// The model that a loader has a permit for.
     pub(crate) fn granted(&self, loader: &str) -> Option<&ModelName> {
-        self.entries.get(loader).filter(|entry| entry.lane.is_some()).map(|entry| &entry.model)
+        self.entries.get(loader).filter(|entry| entry.permit.is_some()).map(|entry| &entry.model)
     }
 
-    /// How long after the last word of the store it is a loader's turn, if nobody can append anything: as if each load took
-    /// its own length, in the order of the records. Those that asked for nothing before follow by name.
-    pub(crate) fn turn(&self, loader: &str, alone: Duration) -> Duration {
-        let loads: Vec<ModelName> = self.entries.values().filter_map(Entry::loads).collect();
+    /// How long after the store became unreachable a loader may load although no loader can append anything: as if each load took as long as it takes alone, in the order of the records. Loaders without a
+    /// request follow, ordered by name.
+    pub(crate) fn offline_delay(&self, loader: &str, solo_time: Duration) -> Duration {
+        let loading: Vec<ModelName> =
+            self.entries.values().filter_map(Entry::loading_model).collect();
         let ahead = match self.entries.get(loader) {
-            Some(own) if own.lane.is_some() => return Duration::ZERO,
+            Some(own) if own.permit.is_some() => return Duration::ZERO,
             Some(own) => {
                 let goes_first = |other: &&Entry| {
-                    other.lane.is_some() || order(other, own, &loads) == Ordering::Less
+                    other.permit.is_some()
+                        || compare_priority(other, own, &loading) == Ordering::Less
                 };
                 self.entries.values().filter(goes_first).count()
             }
@@ -163,38 +180,38 @@
                 self.entries.len() + idle.count()
             }
         };
-        let rounds = ahead / (self.lanes.limit().max(1) as usize);
-        alone.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX))
+        let rounds = ahead / (self.concurrency.limit().max(1) as usize);
+        solo_time.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX))
     }
 
-    /// Loads that have a lane.
-    fn running(&self) -> u32 {
-        let running = self.entries.values().filter(|entry| entry.lane.is_some()).count();
-        u32::try_from(running).unwrap_or(u32::MAX)
+    fn taken_permits(&self) -> u32 {
+        let taken = self.entries.values().filter(|entry| entry.permit.is_some()).count();
+        u32::try_from(taken).unwrap_or(u32::MAX)
     }
 
-    /// Gives free lanes to those from whom most is wanted, each model once first; equal ones in the order in which they
-    /// asked.
-    pub(crate) fn grant(&mut self, now: Instant) {
-        self.entries.retain(|_, entry| match entry.lane {
-            Some((since, _)) => now - since < entry.alone.saturating_mul(LOST),
-            None => now - entry.asked < RENEW * 2,
+    /// Drops expired entries and grants free permits to the loaders with the highest demand, one loader for each model
+    /// first; at equal demand in the order of their requests.
+    pub(crate) fn grant_permits(&mut self, now: Instant) {
+        self.entries.retain(|_, entry| match entry.permit {
+            Some((since, _)) => now - since < entry.solo_time.saturating_mul(LOST_LOAD_FACTOR),
+            None => now - entry.requested < RENEW_INTERVAL * 2,
         });
-        let taken = self.running();
-        let free = if self.held { 0 } else { self.lanes.limit().saturating_sub(taken) };
-        let waiting = self.entries.values().filter(|entry| entry.lane.is_none()).count();
+        let taken = self.taken_permits();
+        let free = if self.suspended { 0 } else { self.concurrency.limit().saturating_sub(taken) };
+        let waiting = self.entries.values().filter(|entry| entry.permit.is_none()).count();
         let granted = u32::try_from(waiting).unwrap_or(u32::MAX).min(free);
         let running = taken + granted;
         for _ in 0..granted {
-            let loads: Vec<ModelName> = self.entries.values().filter_map(Entry::loads).collect();
-            let waiting = self.entries.values_mut().filter(|entry| entry.lane.is_none());
-            let next = waiting.min_by(|a, b| order(a, b, &loads));
+            let loading: Vec<ModelName> =
+                self.entries.values().filter_map(Entry::loading_model).collect();
+            let waiting = self.entries.values_mut().filter(|entry| entry.permit.is_none());
+            let next = waiting.min_by(|a, b| compare_priority(a, b, &loading));
             if let Some(entry) = next {
-                entry.lane = Some((now, ConcurrentLoads::steady(running)));
+                entry.permit = Some((now, ConcurrentLoads::steady(running)));
             }
         }
-        for (_, beside) in self.entries.values_mut().filter_map(|entry| entry.lane.as_mut()) {
-            beside.record(running);
+        for (_, concurrent) in self.entries.values_mut().filter_map(|entry| entry.permit.as_mut()) {
+            concurrent.record(running);
         }
     }
 }
--- a/components/loader/src/queue/tests.rs
+++ b/components/loader/src/queue/tests.rs
@@ -1,120 +1,127 @@
-//! Tests of whose turn it is, on a store that slows beyond its lanes.
+//! Tests of the permit queue, on a store that slows down beyond some number of concurrent loads.
 
 use super::*;
 
 const ALONE: Duration = Duration::from_secs(6);
 
-fn ask(loader: usize, model: &str, worth: f64) -> Note {
+fn request(loader: usize, model: &str, demand: f64) -> PermitRecord {
     let model = model.parse().expect("a name");
-    Note::Ask { loader: format!("side-{loader}"), model, worth, alone: ALONE, loading: false }
+    PermitRecord::Request {
+        loader: format!("side-{loader}"),
+        model,
+        demand,
+        solo_time: ALONE,
+        loading: false,
+    }
 }
 
-fn end(loader: usize, took: Option<Duration>) -> Note {
-    let took = took.map(|took| u64::try_from(took.as_millis()).expect("short"));
-    Note::End { loader: format!("side-{loader}"), took }
+fn release(loader: usize, took: Option<Duration>) -> PermitRecord {
+    let took_ms = took.map(|took| u64::try_from(took.as_millis()).expect("short"));
+    PermitRecord::Release { loader: format!("side-{loader}"), took_ms }
 }
 
-/// The loaders that have a lane.
-fn with_lane(queue: &Queue) -> Vec<usize> {
+/// The loaders that have a permit.
+fn with_permit(queue: &PermitQueue) -> Vec<usize> {
     (0..64).filter(|loader| queue.granted(&format!("side-{loader}")).is_some()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn whom_most_is_wanted_from_goes_first_and_equal_ones_in_turn() {
+async fn the_highest_demand_goes_first_and_equal_demands_in_order_of_their_requests() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.take(ask(0, "a", 1.0), now);
-    queue.take(ask(1, "b", 1.0), now);
-    for (loader, model, worth) in [(2, "c", 1.0), (3, "d", 1.0), (4, "e", 160.0)] {
-        queue.take(ask(loader, model, worth), now);
+    let mut queue = PermitQueue::default();
+    queue.apply(request(0, "a", 1.0), now);
+    queue.apply(request(1, "b", 1.0), now);
+    for (loader, model, demand) in [(2, "c", 1.0), (3, "d", 1.0), (4, "e", 160.0)] {
+        queue.apply(request(loader, model, demand), now);
     }
-    assert_eq!(with_lane(&queue), [0, 1]);
-    queue.take(end(0, None), now);
-    assert_eq!(with_lane(&queue), [1, 4]);
-    queue.take(end(1, None), now);
-    assert_eq!(with_lane(&queue), [2, 4]);
+    assert_eq!(with_permit(&queue), [0, 1]);
+    queue.apply(release(0, None), now);
+    assert_eq!(with_permit(&queue), [1, 4]);
+    queue.apply(release(1, None), now);
+    assert_eq!(with_permit(&queue), [2, 4]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_second_copy_of_what_is_on_its_way_waits_for_the_first_of_all_others() {
+async fn a_second_copy_of_a_model_waits_for_the_first_copies_of_all_other_models() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.take(ask(0, "a", 9.0), now);
-    queue.take(ask(1, "b", 5.0), now);
-    queue.take(ask(2, "a", 9.0), now);
-    queue.take(ask(3, "c", 1.0), now);
-    queue.take(end(1, None), now);
-    assert_eq!(with_lane(&queue), [0, 3]);
-    queue.take(end(3, None), now);
-    assert_eq!(with_lane(&queue), [0, 2], "a lane that nobody else wants");
+    let mut queue = PermitQueue::default();
+    queue.apply(request(0, "a", 9.0), now);
+    queue.apply(request(1, "b", 5.0), now);
+    queue.apply(request(2, "a", 9.0), now);
+    queue.apply(request(3, "c", 1.0), now);
+    queue.apply(release(1, None), now);
+    assert_eq!(with_permit(&queue), [0, 3]);
+    queue.apply(release(3, None), now);
+    assert_eq!(with_permit(&queue), [0, 2], "no other loader needs the permit");
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_asks_for_more_keeps_its_place_and_one_that_asks_for_another_model_does_not() {
+async fn a_request_with_more_demand_keeps_its_position_and_one_for_another_model_does_not() {
     let now = Instant::now();
-    let mut queue = Queue::default();
+    let mut queue = PermitQueue::default();
     for (loader, model) in ["a", "b", "c", "d"].iter().enumerate() {
-        queue.take(ask(loader, model, 1.0), now);
+        queue.apply(request(loader, model, 1.0), now);
     }
-    queue.take(ask(3, "d", 5.0), now);
-    queue.take(ask(0, "e", 1.0), now);
-    assert_eq!(with_lane(&queue), [1, 3], "the first gave its lane up");
+    queue.apply(request(3, "d", 5.0), now);
+    queue.apply(request(0, "e", 1.0), now);
+    assert_eq!(with_permit(&queue), [1, 3], "the first loader gave up its permit");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loader_that_starts_again_or_falls_silent_gives_its_lane_back() {
+async fn a_loader_that_restarts_or_exceeds_its_load_time_loses_its_permit() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    (0..3).for_each(|loader| queue.take(ask(loader, "a", 1.0), now));
-    queue.started("side-0", now);
-    assert_eq!(with_lane(&queue), [1, 2]);
-    let later = now + ALONE * LOST;
-    queue.take(ask(3, "a", 1.0), later);
-    assert_eq!(with_lane(&queue), [3]);
+    let mut queue = PermitQueue::default();
+    (0..3).for_each(|loader| queue.apply(request(loader, "a", 1.0), now));
+    queue.record_start("side-0", now);
+    assert_eq!(with_permit(&queue), [1, 2]);
+    let later = now + ALONE * LOST_LOAD_FACTOR;
+    queue.apply(request(3, "a", 1.0), later);
+    assert_eq!(with_permit(&queue), [3]);
 }
 
-/// When each of the loaders has its turn without the store, by the same records.
-fn turns(queue: &Queue, loaders: std::ops::Range<usize>) -> Vec<Duration> {
-    loaders.map(|loader| queue.turn(&format!("side-{loader}"), ALONE)).collect()
+/// How long each of the loaders waits without the store, by the same records.
+fn offline_delays(queue: &PermitQueue, loaders: std::ops::Range<usize>) -> Vec<Duration> {
+    loaders.map(|loader| queue.offline_delay(&format!("side-{loader}"), ALONE)).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_those_that_wait_go_as_many_at_once_as_there_are_lanes() {
+async fn without_the_store_no_more_loaders_load_at_once_than_there_are_permits() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    (0..40).for_each(|loader| queue.started(&format!("side-{loader}"), now));
+    let mut queue = PermitQueue::default();
+    (0..40).for_each(|loader| queue.record_start(&format!("side-{loader}"), now));
     for loader in 0..40 {
-        queue.take(ask(loader, &format!("m{loader}"), 40.0 - loader as f64), now);
+        queue.apply(request(loader, &format!("m{loader}"), 40.0 - loader as f64), now);
     }
-    let turns = turns(&queue, 0..40);
-    assert_eq!(turns[..6], [0, 0, 1, 1, 2, 2].map(|round| ALONE * round));
+    let delays = offline_delays(&queue, 0..40);
+    assert_eq!(delays[..6], [0, 0, 1, 1, 2, 2].map(|round| ALONE * round));
     for round in 0..20 {
-        assert_eq!(turns.iter().filter(|turn| **turn == ALONE * round).count(), 2);
+        assert_eq!(delays.iter().filter(|delay| **delay == ALONE * round).count(), 2);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_those_that_asked_for_nothing_before_take_turns_by_name() {
+async fn without_the_store_loaders_without_a_request_are_ordered_by_name() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    (0..8).for_each(|loader| queue.started(&format!("side-{loader}"), now));
-    queue.take(ask(5, "a", 1.0), now);
-    queue.take(ask(6, "b", 1.0), now);
-    // Two have a lane; the other six follow behind them.
-    let rounds: Vec<u32> = turns(&queue, 0..8)
+    let mut queue = PermitQueue::default();
+    (0..8).for_each(|loader| queue.record_start(&format!("side-{loader}"), now));
+    queue.apply(request(5, "a", 1.0), now);
+    queue.apply(request(6, "b", 1.0), now);
+    // Two loaders have a permit; the other six follow.
+    let rounds: Vec<u32> = offline_delays(&queue, 0..8)
         .iter()
-        .map(|turn| u32::try_from(turn.as_secs() / ALONE.as_secs()).expect("few"))
+        .map(|delay| u32::try_from(delay.as_secs() / ALONE.as_secs()).expect("few"))
         .collect();
     assert_eq!(rounds, [1, 1, 2, 2, 3, 0, 0, 3]);
 }
 
-/// A weight store that brings in so many at full speed, and more of them slower in proportion; loaders each want one
-/// model after another. Returns when each load was done, in order.
-fn play(lanes: u32, models: usize, loaders: usize) -> Vec<(Duration, usize)> {
+/// Simulates a weight store that serves `capacity` loads at full speed, and more of them slower in proportion, while each
+/// loader loads one model after another. Returns when each load was complete, with its model, in order.
+fn simulate(capacity: u32, models: usize, loaders: usize) -> Vec<(Duration, usize)> {
     const STEP: Duration = Duration::from_millis(100);
     let start = Instant::now();
-    let mut queue = Queue::default();
-    // What is still to load of the model that each loader asks for; the first models are wanted most.
+    let mut queue = PermitQueue::default();
+    // For each loader the model that it requests, the remaining load time, and when the load began; the first models have
+    // the highest demand.
     let mut loads: Vec<Option<(usize, Duration, Option<Instant>)>> = vec![None; loaders];
     let mut left: std::collections::VecDeque<usize> = (0..models).collect();
     let (mut done, mut now) = (Vec::new(), start);
@@ -124,21 +131,21 @@
                 && let Some(model) = left.pop_front()
             {
                 *load = Some((model, ALONE, None));
-                queue.take(ask(loader, &format!("m{model}"), 1.0 / (model + 1) as f64), now);
+                queue.apply(request(loader, &format!("m{model}"), 1.0 / (model + 1) as f64), now);
             }
         }
-        if (now - start).as_millis().is_multiple_of(RENEW.as_millis()) {
-            // Those that wait ask anew.
+        if (now - start).as_millis().is_multiple_of(RENEW_INTERVAL.as_millis()) {
+            // Waiting loaders renew their requests.
             for (loader, load) in loads.iter().enumerate() {
                 if let Some((model, _, None)) = load {
-                    let worth = 1.0 / (*model + 1) as f64;
-                    queue.take(ask(loader, &format!("m{model}"), worth), now);
+                    let demand = 1.0 / (*model + 1) as f64;
+                    queue.apply(request(loader, &format!("m{model}"), demand), now);
                 }
             }
         }
-        assert!(now - start < ALONE * 200, "never done: {done:?}");
-        let running = with_lane(&queue);
-        let speed = f64::from(lanes).min(running.len() as f64) / running.len() as f64;
+        assert!(now - start < ALONE * 200, "loads never completed: {done:?}");
+        let running = with_permit(&queue);
+        let speed = f64::from(capacity).min(running.len() as f64) / running.len() as f64;
         now += STEP;
         for loader in running {
             let load = loads[loader].as_mut().expect("a load");
@@ -146,9 +153,9 @@
             load.1 = load.1.saturating_sub(STEP.mul_f64(speed));
             if load.1.is_zero() {
                 done.push((now - start, load.0));
-                let took = now - load.2.expect("a begin");
+                let took = now - load.2.expect("a start");
                 loads[loader] = None;
-                queue.take(end(loader, Some(took)), now);
+                queue.apply(release(loader, Some(took)), now);
             }
         }
     }
@@ -156,9 +163,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_many_models_at_once_the_most_wanted_are_there_after_the_time_of_one_load() {
-    for lanes in [2, 4, 8] {
-        let done = play(lanes, 40, 12);
+async fn of_many_models_the_most_requested_are_loaded_first_at_full_speed() {
+    for capacity in [2, 4, 8] {
+        let done = simulate(capacity, 40, 12);
         let first: Vec<usize> = done.iter().take(2).map(|(_, model)| *model).collect();
         assert_eq!(first, [0, 1]);
         assert!(done[1].0 < ALONE + Duration::from_secs(1), "{:?}", done[1].0);
@@ -166,51 +173,55 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_store_is_kept_busy_and_not_pressed_far_beyond_its_lanes() {
-    for lanes in [1, 4] {
-        let done = play(lanes, 24, 12);
-        let ideal = ALONE * 24 / lanes;
-        let all = done.last().expect("loads").0;
-        assert!(all < ideal + ALONE * 3, "{lanes} lanes: {all:?} against {ideal:?}");
+async fn the_store_is_kept_busy_without_being_overloaded() {
+    for capacity in [1, 4] {
+        let done = simulate(capacity, 24, 12);
+        let ideal = ALONE * 24 / capacity;
+        let total = done.last().expect("loads").0;
+        assert!(total < ideal + ALONE * 3, "capacity {capacity}: {total:?} instead of {ideal:?}");
     }
 }
 
 proptest::proptest! {
     #[test]
-    fn readers_of_the_same_records_see_the_same(
-        notes in proptest::collection::vec((0_usize..6, 0_u8..4, 0.0_f64..9.0), 0..60),
+    fn readers_of_the_same_records_grant_the_same_permits(
+        records in proptest::collection::vec((0_usize..6, 0_u8..4, 0.0_f64..9.0), 0..60),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
         let _inside = runtime.enter();
         let now = Instant::now();
-        let (mut one, mut other) = (Queue::default(), Queue::default());
-        for (loader, kind, worth) in notes {
-            let note = || match kind {
-                0 => end(loader, Some(ALONE)),
-                1 => end(loader, None),
-                _ => ask(loader, &format!("m{kind}"), worth),
+        let (mut one, mut other) = (PermitQueue::default(), PermitQueue::default());
+        for (loader, kind, demand) in records {
+            let record = || match kind {
+                0 => release(loader, Some(ALONE)),
+                1 => release(loader, None),
+                _ => request(loader, &format!("m{kind}"), demand),
             };
-            one.take(note(), now);
-            other.take(note(), now);
-            proptest::prop_assert_eq!(with_lane(&one), with_lane(&other));
-            proptest::prop_assert!(with_lane(&one).len() <= 32);
+            one.apply(record(), now);
+            other.apply(record(), now);
+            proptest::prop_assert_eq!(with_permit(&one), with_permit(&other));
+            proptest::prop_assert!(with_permit(&one).len() <= 32);
         }
     }
 }
 
-/// A load had run alone at first, and beside another one when its record was lost and written again: it seemed to have run beside that one all
-/// the time, and four lanes were given out where two are known.
+/// A load runs alone at first, and concurrently with another one when its record is lost and appended again. It must not
+/// seem to have run concurrently all the time: four permits would be granted on a store known to serve two loads.
 #[tokio::test(start_paused = true)]
-async fn loads_whose_records_were_lost_do_not_teach_that_more_are_carried() {
+async fn loads_whose_records_were_lost_do_not_raise_the_limit() {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.restored();
+    let mut queue = PermitQueue::default();
+    queue.begin_restore();
     for loader in 0..2 {
-        let Note::Ask { loader, model, worth, alone, .. } = ask(loader, "a", 1.0) else { continue };
-        queue.take(Note::Ask { loader, model, worth, alone, loading: true }, now);
+        let PermitRecord::Request { loader, model, demand, solo_time, .. } =
+            request(loader, "a", 1.0)
+        else {
+            continue;
+        };
+        queue.apply(PermitRecord::Request { loader, model, demand, solo_time, loading: true }, now);
     }
-    queue.take(end(1, Some(ALONE)), now);
-    queue.settled();
-    (2..6).for_each(|loader| queue.take(ask(loader, "b", 1.0), now));
-    assert_eq!(with_lane(&queue).len(), 2);
+    queue.apply(release(1, Some(ALONE)), now);
+    queue.end_restore();
+    (2..6).for_each(|loader| queue.apply(request(loader, "b", 1.0), now));
+    assert_eq!(with_permit(&queue).len(), 2);
 }
--- a/components/loader/src/records.rs
+++ b/components/loader/src/records.rs
@@ -8,59 +8,60 @@
 use units::{Era, Offset, StorePosition};
 
 use crate::fence::TOPIC;
-use crate::queue::Queue;
+use crate::queue::PermitQueue;
 
-/// Records before the loader's own start that may still be about a load in progress: ten for each of some fifty loaders. Where
-/// there are more, a loader that has just started may take a lane too many, once.
-const BACK: u64 = 512;
-/// After the store has come back from an older copy, all write again within this time what stands and may be gone, each at a moment
-/// of its own: hundreds of loaders notice it at once.
-pub(crate) const AGAIN: Duration = Duration::from_millis(2_000);
-/// So long the records do not show yet which lanes are taken: what is written again has to be read, too.
-const SETTLE: Duration = Duration::from_millis(2_500);
+/// The number of records before the loader's own start that are read, since they may be about a load in progress: ten for
+/// each of some fifty loaders. With more loaders, one that has just started may take a permit too many, once.
+const LOOKBACK_RECORDS: u64 = 512;
+/// After the store was restored from an older copy, all loaders append again, within this time, the records that still
+/// apply and may be lost. Each does so at a random moment, since hundreds of loaders notice the restore at once.
+pub(crate) const REWRITE_WINDOW: Duration = Duration::from_millis(2_000);
+/// The time after a restore during which the records may not show all permits that are taken: the records that are
+/// appended again have to be read, too.
+const SETTLING_TIME: Duration = Duration::from_millis(2_500);
 
-/// What a read has shown.
+/// The outcome of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Found {
-    /// What was written since the last one, if anything.
-    News,
-    /// The store has come back from an older copy: what this loader wrote may be gone.
+pub(crate) enum ReadOutcome {
+    /// All records since the last read were read, if there were any.
+    Current,
+    /// The store was restored from an older copy: the records that this loader appended may be lost.
     Restored,
 }
 
-/// What has been read.
+/// The records that have been read.
 #[derive(Debug)]
 pub(crate) struct Records {
     store: Store,
-    /// What the records say.
-    pub(crate) queue: Queue,
-    /// Where to read on.
+    /// The permits and permit requests that follow from the records.
+    pub(crate) queue: PermitQueue,
+    /// The position of the next record to read.
     next: StorePosition,
-    /// Until when the records may not show yet which lanes are taken.
-    settling: Option<Instant>,
+    /// Until when the records may not show all permits that are taken, after a restore.
+    settling_until: Option<Instant>,
 }
 
 impl Records {
-    /// Nothing has been read yet by a loader whose own start stands there.
+    /// Starts before the loader's own start record; nothing has been read yet.
     pub(crate) fn new(store: Store, start: StorePosition) -> Self {
-        let offset = Offset(start.offset.0.saturating_sub(BACK));
+        let offset = Offset(start.offset.0.saturating_sub(LOOKBACK_RECORDS));
         let next = StorePosition { offset, ..start };
-        Self { store, queue: Queue::default(), next, settling: None }
+        Self { store, queue: PermitQueue::default(), next, settling_until: None }
     }
 
-    /// The era of the store in which they were read.
+    /// The era of the store in which the records were read.
     pub(crate) fn era(&self) -> Era {
         self.next.era
     }
 
-    /// Whether they may not show yet which lanes are taken.
-    pub(crate) fn settling(&self) -> bool {
-        self.settling.is_some()
+    /// Whether the records may not show all permits that are taken, after a restore.
+    pub(crate) fn is_settling(&self) -> bool {
+        self.settling_until.is_some()
     }
 
-    /// Reads on, as soon as there is a record or the wait is over.
-    pub(crate) async fn read(&mut self, wait: Duration) -> Result<Found, StoreError> {
-        let left = self.settling.map(|until| until.saturating_duration_since(Instant::now()));
+    /// Reads new records; waits up to `wait` for the first one.
+    pub(crate) async fn read(&mut self, wait: Duration) -> Result<ReadOutcome, StoreError> {
+        let left = self.settling_until.map(|until| until.saturating_duration_since(Instant::now()));
         let wait = left.filter(|left| !left.is_zero()).map_or(wait, |left| wait.min(left));
         let now = Instant::now;
         match self.store.read_log(TOPIC, self.next, wait).await? {
@@ -69,26 +70,26 @@
                 let (before, read) = (self.next.to_string(), first.to_string());
                 let (dependency, before, read) = (Dependency::Lanes, &*before, &*read);
                 emit(&Event::Restored { dependency, before, read });
-                self.queue.restored();
+                self.queue.begin_restore();
                 self.next = first;
-                self.settling = Some(now() + SETTLE);
-                return Ok(Found::Restored);
+                self.settling_until = Some(now() + SETTLING_TIME);
+                return Ok(ReadOutcome::Restored);
             }
             Log::New { records, next } => {
                 for record in records {
                     match serde_json::from_slice(&record) {
-                        Ok(note) => self.queue.take(note, now()),
-                        // The record of a start is the name of an instance.
-                        Err(_) => self.queue.started(&String::from_utf8_lossy(&record), now()),
+                        Ok(record) => self.queue.apply(record, now()),
+                        // A start record is the name of an instance.
+                        Err(_) => self.queue.record_start(&String::from_utf8_lossy(&record), now()),
                     }
                 }
-                if self.settling.take_if(|until| now() >= *until).is_some() {
-                    self.queue.settled();
+                if self.settling_until.take_if(|until| now() >= *until).is_some() {
+                    self.queue.end_restore();
                 }
-                self.queue.grant(now());
+                self.queue.grant_permits(now());
                 self.next = next;
             }
         }
-        Ok(Found::News)
+        Ok(ReadOutcome::Current)
     }
 }
--- a/components/loader/src/router_api.rs
+++ b/components/loader/src/router_api.rs
@@ -1,4 +1,4 @@
-//! Answers routers.
+//! Answers the requests of routers.
 
 use bytes::Bytes;
 use control::{
@@ -11,41 +11,41 @@
 use units::Era;
 use web::Body;
 
-/// The largest message: an engine with some thousands of models.
-const LARGEST: usize = 4 << 20;
-/// The longest that a router may wait for news.
-const LONGEST: Duration = Duration::from_secs(30);
-/// When to ask again after a verdict was lost.
-const AGAIN: Duration = Duration::from_millis(300);
+/// The largest accepted request body; an engine with some thousands of models fits.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// The longest time that the loader keeps a router waiting for an answer.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// When a router should retry a request for a model that the controller has not answered in time or has dropped.
+const UNANSWERED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What routers say, for the steward.
+/// A message from a router to the controller.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// A router says what it uses.
-    Uses(Poll),
+    /// A router polls, and reports the models that it uses.
+    Poll(Poll),
     /// A router asks for a model.
     Ensure(Ensure, oneshot::Sender<Verdict>),
-    /// A router says what the endpoint can hold.
+    /// A router reports what the endpoint can hold.
     Engine(EngineNews),
 }
 
-/// Answers one router's request; cheap to clone.
+/// Answers one request of a router; cheap to clone.
 #[derive(Debug, Clone)]
-pub(crate) struct Desk {
+pub(crate) struct RouterApi {
     pub(crate) commands: mpsc::Sender<Command>,
     pub(crate) state: watch::Receiver<State>,
-    /// The highest era of the store that a router has spoken of.
-    pub(crate) heard: watch::Sender<Era>,
+    /// The highest era of the store that a router has reported.
+    pub(crate) highest_era: watch::Sender<Era>,
 }
 
-impl Desk {
+impl RouterApi {
     /// Answers a request.
-    pub(crate) async fn answer(self, request: Request<Incoming>) -> Response<Body> {
+    pub(crate) async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (parts, body) = request.into_parts();
         if parts.method != Method::POST {
             return web::text(StatusCode::METHOD_NOT_ALLOWED, "use POST\n");
         }
-        let bytes = match web::read(body, LARGEST).await {
+        let bytes = match web::read(body, MAX_BODY_BYTES).await {
             Ok(bytes) => bytes,
             Err(error) => return web::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
@@ -63,16 +63,16 @@
 
     async fn poll(mut self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
         let poll: Poll = serde_json::from_slice(bytes)?;
-        let (seen, wait, era) = (poll.seen, poll.wait.min(LONGEST), poll.era);
-        self.heard.send_if_modified(|heard| {
-            let later = era > *heard;
-            *heard = era.max(*heard);
+        let (seen, wait, era) = (poll.seen, poll.wait.min(MAX_WAIT), poll.era);
+        self.highest_era.send_if_modified(|highest| {
+            let later = era > *highest;
+            *highest = era.max(*highest);
             later
         });
-        let _ = self.commands.send(Command::Uses(poll)).await;
-        let newer = self.state.wait_for(|state| state.version != seen);
-        let newer = tokio::time::timeout(wait, newer).await.is_ok();
-        let polled = if newer {
+        let _ = self.commands.send(Command::Poll(poll)).await;
+        let changed = self.state.wait_for(|state| state.version != seen);
+        let changed = tokio::time::timeout(wait, changed).await.is_ok();
+        let polled = if changed {
             Polled::News(Box::new(self.state.borrow().clone()))
         } else {
             Polled::Same(self.state.borrow().load)
@@ -82,12 +82,12 @@
 
     async fn ensure(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
         let ensure: Ensure = serde_json::from_slice(bytes)?;
-        let within = ensure.within.min(LONGEST);
+        let within = ensure.within.min(MAX_WAIT);
         let (reply, verdict) = oneshot::channel();
         let _ = self.commands.send(Command::Ensure(ensure, reply)).await;
         let verdict = match tokio::time::timeout(within, verdict).await {
             Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) | Err(_) => Verdict::Refused(AGAIN),
+            Ok(Err(_)) | Err(_) => Verdict::Refused(UNANSWERED_RETRY_AFTER),
         };
         let state = self.state.borrow().clone();
         Ok(web::json(StatusCode::OK, &Ensured { verdict, state }))
@@ -96,10 +96,10 @@
     async fn engine(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
         let news: EngineNews = serde_json::from_slice(bytes)?;
         let _ = self.commands.send(Command::Engine(news)).await;
-        Ok(self.now())
+        Ok(self.current_state())
     }
 
-    fn now(&self) -> Response<Body> {
+    fn current_state(&self) -> Response<Body> {
         web::json(StatusCode::OK, &*self.state.borrow())
     }
 }
--- a/components/loader/src/router_api/tests.rs
+++ b/components/loader/src/router_api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what routers are told.
+//! Tests of the answers to routers.
 
 use control::Load;
 use fleet::Holdings;
@@ -23,8 +23,8 @@
     }
 }
 
-async fn ask(desk: Desk, seen: u64) -> (Polled, usize) {
-    let poll = Poll {
+async fn poll(api: RouterApi, seen: u64) -> (Polled, usize) {
+    let request = Poll {
         router: "front-1".to_owned(),
         endpoint: "i-1".parse().expect("an id"),
         life: None,
@@ -33,31 +33,31 @@
         wait: Duration::from_secs(1),
         uses: Vec::new(),
     };
-    let poll = serde_json::to_vec(&poll).expect("a message").into();
-    let answer = desk.poll(&poll).await.expect("an answer");
+    let request = serde_json::to_vec(&request).expect("a message").into();
+    let answer = api.poll(&request).await.expect("an answer");
     let bytes = answer.into_body().collect().await.expect("a body").to_bytes();
     (serde_json::from_slice(&bytes).expect("a message"), bytes.len())
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_has_the_news_is_told_only_how_busy_the_endpoint_is() {
+async fn a_router_with_the_current_version_gets_only_the_load_of_the_endpoint() {
     let (commands, _inbox) = mpsc::channel(8);
-    let (_sender, news) = watch::channel(state(7));
-    let desk = Desk { commands, state: news, heard: watch::Sender::default() };
-    let (polled, whole) = ask(desk.clone(), 0).await;
+    let (_sender, state_receiver) = watch::channel(state(7));
+    let api = RouterApi { commands, state: state_receiver, highest_era: watch::Sender::default() };
+    let (polled, whole) = poll(api.clone(), 0).await;
     assert_eq!(polled, Polled::News(Box::new(state(7))));
-    let (polled, short) = ask(desk, 7).await;
+    let (polled, short) = poll(api, 7).await;
     assert_eq!(polled, Polled::Same(Load { waiting: 2, running: 5, routers: 3 }));
     assert!(short * 10 < whole, "{short} of {whole} bytes");
 }
 
 #[tokio::test(start_paused = true)]
-async fn news_end_the_wait() {
+async fn a_change_ends_the_wait() {
     let (commands, _inbox) = mpsc::channel(8);
-    let (sender, news) = watch::channel(state(7));
-    let desk = Desk { commands, state: news, heard: watch::Sender::default() };
-    let asked = tokio::spawn(ask(desk, 7));
+    let (sender, state_receiver) = watch::channel(state(7));
+    let api = RouterApi { commands, state: state_receiver, highest_era: watch::Sender::default() };
+    let polled = tokio::spawn(poll(api, 7));
     tokio::time::sleep(Duration::from_millis(100)).await;
     sender.send_replace(state(8));
-    assert_eq!(asked.await.expect("an answer").0, Polled::News(Box::new(state(8))));
+    assert_eq!(polled.await.expect("an answer").0, Polled::News(Box::new(state(8))));
 }
--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -10,23 +10,23 @@
 use units::{Era, Revision};
 use web::ServeOptions;
 
-use crate::controller::{Steward, Token};
-use crate::permit::{Lane, Waiter};
-use crate::router_api::Desk;
+use crate::controller::{Controller, TokenSource};
+use crate::permit::{PermitHandle, PermitTask};
+use crate::router_api::RouterApi;
 use crate::{Settings, fence};
 
-/// Commands that wait for the steward while an order is given.
-const COMMANDS: usize = 256;
+/// The number of commands that can wait while the controller gives an order.
+const COMMAND_QUEUE_LENGTH: usize = 256;
 
-/// Runs until the process is asked to end.
+/// Runs a loader until the process is asked to shut down.
 pub async fn run(process: Single<Settings>) -> Result<(), StartError> {
     let settings = process.settings.borrow().clone();
     let listener = web::bind(settings.listen).await.map_err(StartError::new)?;
     if let Some(addr) = settings.metrics {
         process::serve_metrics(addr).await?;
     }
-    let (commands, inbox) = mpsc::channel(COMMANDS);
-    let (state, news) = watch::channel(State {
+    let (commands, command_receiver) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+    let (state, state_receiver) = watch::channel(State {
         version: 1,
         endpoint: None,
         life: None,
@@ -37,26 +37,39 @@
         draining: false,
         engine: Revision(0),
     });
-    let (sender, start) = watch::channel(None);
+    let (start_sender, start) = watch::channel(None);
     let instance = settings.instance.to_string();
-    let fenced = Arc::new(Notify::new());
+    let refused = Arc::new(Notify::new());
     let store = Store::new(settings.store);
-    tokio::spawn(fence::keep(store.clone(), instance.clone(), sender, fenced.clone()));
-    let (say, said) = mpsc::unbounded_channel();
-    let (granted, grants) = watch::channel(None);
-    let (heard, eras) = watch::channel(Era::default());
-    let waiter = Waiter::new(store, instance.clone(), start.clone(), eras, said, granted);
-    tokio::spawn(waiter.run());
-    let token = Token { start, fenced };
-    let lane = Lane { say, granted: grants };
-    let steward = Steward::new(instance, settings.endpoint, token, lane, inbox, state);
-    let steward = tokio::spawn(steward.run());
-    let desk = Desk { commands, state: news, heard };
+    tokio::spawn(fence::maintain_start_record(
+        store.clone(),
+        instance.clone(),
+        start_sender,
+        refused.clone(),
+    ));
+    let (permit_commands, permit_command_receiver) = mpsc::unbounded_channel();
+    let (granted, granted_receiver) = watch::channel(None);
+    let (highest_era, era_receiver) = watch::channel(Era::default());
+    let permit_task = PermitTask::new(
+        store,
+        instance.clone(),
+        start.clone(),
+        era_receiver,
+        permit_command_receiver,
+        granted,
+    );
+    tokio::spawn(permit_task.run());
+    let token = TokenSource { start, refused };
+    let permit = PermitHandle { commands: permit_commands, granted: granted_receiver };
+    let controller =
+        Controller::new(instance, settings.endpoint, token, permit, command_receiver, state);
+    let controller = tokio::spawn(controller.run());
+    let api = RouterApi { commands, state: state_receiver, highest_era };
     let stop = process.shutdown.flag(Phase::Drain);
-    let handler = move |request, _| desk.clone().answer(request);
+    let handler = move |request, _| api.clone().handle(request);
     tokio::select! {
         () = web::serve(listener, ServeOptions::default(), stop, handler) => {}
-        _ = steward => {}
+        _ = controller => {}
         () = process.shutdown.reached(Phase::Drain) => {}
     }
     Ok(())
--- a/components/loader/src/settings.rs
+++ b/components/loader/src/settings.rs
@@ -9,15 +9,15 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The instance that it runs on; orders bear this name.
+    /// The instance that the loader runs on; its orders bear this name.
     pub instance: InstanceId,
-    /// Where routers reach it.
+    /// The address where the loader listens for routers.
     pub listen: SocketAddr,
-    /// The endpoint on the same machine.
+    /// The address of the endpoint, which runs on the same instance.
     pub endpoint: SocketAddr,
-    /// Where its metrics are read, if anywhere: `GET /metrics`.
+    /// The address where the loader serves its metrics as `GET /metrics`, if anywhere.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
 }
--- a/components/loader/src/view.rs
+++ b/components/loader/src/view.rs
@@ -1,4 +1,4 @@
-//! What the loader knows of its endpoint and of what is wanted from it.
+//! What the loader knows about its endpoint and about the requests of routers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,172 +10,174 @@
 use tokio::time::Instant;
 use units::{ModelName, Size};
 
-/// A model or adapter that somebody waits for.
+/// A model or adapter that routers have asked for.
 #[derive(Debug)]
-pub(crate) struct Want {
-    /// Requests that wait for it, by router; none if it is prepared for later.
-    pub(crate) waiters: BTreeMap<String, u32>,
-    /// Requests a second that come for it, by router.
-    pub(crate) rates: BTreeMap<String, f64>,
-    /// Until when it is waited for.
-    pub(crate) due: Instant,
-    /// Since when.
+pub(crate) struct RequestedModel {
+    /// Requests that wait for it, by router; none if it is loaded before requests wait for it.
+    pub(crate) waiting: BTreeMap<String, u32>,
+    /// Requests a second that arrive for it, by router.
+    pub(crate) request_rates: BTreeMap<String, f64>,
+    /// Until when routers wait for it.
+    pub(crate) deadline: Instant,
+    /// When it was first asked for.
     pub(crate) since: Instant,
-    /// Who gets the verdict.
+    /// Where the verdict is sent.
     pub(crate) replies: Vec<oneshot::Sender<Verdict>>,
 }
 
-impl Want {
-    /// Requests that wait for it.
-    pub(crate) fn waiting(&self) -> u32 {
-        self.waiters.values().sum()
+impl RequestedModel {
+    /// Requests that wait for the model at all routers.
+    pub(crate) fn total_waiting(&self) -> u32 {
+        self.waiting.values().sum()
     }
 }
 
-/// How a model is used, over all routers.
+/// How all routers use a model.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Usage {
-    /// When a request for it last began.
-    pub(crate) last: Option<Instant>,
-    /// Requests that run, by router, and when it said so.
-    pub(crate) running: BTreeMap<String, (u32, Heard)>,
-    /// Requests a second, of late.
-    rate: f64,
-    /// When the rate was last brought up to date.
-    rated: Option<Instant>,
+    /// When a request for the model last began.
+    pub(crate) last_used: Option<Instant>,
+    /// Requests that run, by router, and the poll that reported them.
+    pub(crate) running: BTreeMap<String, (u32, LastPoll)>,
+    /// Requests a second, decaying.
+    request_rate: f64,
+    /// When the rate was last updated.
+    rate_updated: Option<Instant>,
 }
 
-/// The time over which the rate of requests is taken.
-const RATE_SPAN: Duration = Duration::from_secs(3);
+/// Time constant of the decaying rate of requests.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(3);
 
 impl Usage {
-    /// Notes requests that began.
-    pub(crate) fn begin(&mut self, count: u32, now: Instant) {
-        self.rate = self.rate_at(now) + f64::from(count) / RATE_SPAN.as_secs_f64();
-        self.rated = Some(now);
+    /// Counts requests that began.
+    pub(crate) fn record_requests(&mut self, count: u32, now: Instant) {
+        self.request_rate = self.rate_at(now) + f64::from(count) / RATE_TIME_CONSTANT.as_secs_f64();
+        self.rate_updated = Some(now);
         if count > 0 {
-            self.last = Some(now);
+            self.last_used = Some(now);
         }
     }
 
     fn rate_at(&self, now: Instant) -> f64 {
-        let since = self.rated.map_or(Duration::ZERO, |rated| now - rated);
-        self.rate * (-since.as_secs_f64() / RATE_SPAN.as_secs_f64()).exp()
+        let since = self.rate_updated.map_or(Duration::ZERO, |updated| now - updated);
+        self.request_rate * (-since.as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// A router that is silent for this long has no requests here any more, or is cut off and will say so.
-const SILENT: Duration = Duration::from_secs(3);
-/// The same, as so many times what it waits for news: it asks again right after that.
-const SILENT_WAITS: u32 = 2;
+/// A router that hasn't polled for this long has no requests at the endpoint any more, or is cut off and will report its
+/// requests later.
+const ROUTER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The same timeout as a multiple of the time that the router waits for an answer, since it polls again right after that.
+const ROUTER_TIMEOUT_WAITS: u32 = 2;
 
-/// When a router was last heard.
+/// The last poll of a router.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Heard {
+pub(crate) struct LastPoll {
     pub(crate) at: Instant,
-    /// How long it waits for news.
+    /// How long the router waits for an answer.
     pub(crate) wait: Duration,
 }
 
-impl Heard {
-    fn fresh(self) -> bool {
-        self.at.elapsed() < SILENT.max(self.wait * SILENT_WAITS)
+impl LastPoll {
+    fn is_recent(self) -> bool {
+        self.at.elapsed() < ROUTER_TIMEOUT.max(self.wait * ROUTER_TIMEOUT_WAITS)
     }
 }
 
-/// A model that makes room: it gets no new requests, and is unloaded once its last one is done.
+/// The eviction of a model to make room for another one: the model gets no new requests and is unloaded when its last one
+/// has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Leaving {
+pub(crate) struct Eviction {
     pub(crate) model: ModelName,
     pub(crate) since: Instant,
 }
 
-/// What is known and wanted.
+/// What is known about the endpoint, and what routers ask for.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct EndpointView {
     /// What endpoints of the service can hold.
     pub(crate) engine: Option<Engine>,
     /// The endpoint's last report.
     pub(crate) report: Option<Report>,
-    /// What is wanted.
-    pub(crate) wants: BTreeMap<ModelId, Want>,
+    /// Models and adapters that routers have asked for.
+    pub(crate) requested: BTreeMap<ModelId, RequestedModel>,
     /// How models are used.
     pub(crate) usage: BTreeMap<ModelName, Usage>,
-    /// Routers, and when they were last heard.
-    pub(crate) routers: BTreeMap<String, Heard>,
-    /// The model that makes room.
-    pub(crate) leaving: Option<Leaving>,
-    /// How adapters are used.
-    pub(crate) adapters: BTreeMap<ModelId, Instant>,
+    /// Routers, and their last polls.
+    pub(crate) routers: BTreeMap<String, LastPoll>,
+    /// The eviction in progress.
+    pub(crate) eviction: Option<Eviction>,
+    /// When each adapter was last asked for.
+    pub(crate) adapters_asked: BTreeMap<ModelId, Instant>,
     /// The model that may be loaded from the weight store now.
-    pub(crate) lane: Option<ModelName>,
+    pub(crate) permit: Option<ModelName>,
 }
 
-impl Ledger {
-    /// Forgets what an earlier life of the endpoint held and ran.
-    pub(crate) fn restarted(&mut self) {
+impl EndpointView {
+    /// Forgets what an earlier incarnation of the endpoint held and ran.
+    pub(crate) fn reset_endpoint(&mut self) {
         self.report = None;
-        self.leaving = None;
-        self.adapters.clear();
+        self.eviction = None;
+        self.adapters_asked.clear();
         for usage in self.usage.values_mut() {
             usage.running.clear();
         }
     }
 
-    /// Whether the endpoint holds it now.
+    /// Whether the endpoint holds the model, with its adapter if one is named.
     pub(crate) fn holds(&self, id: &ModelId) -> bool {
         let Some(report) = &self.report else { return false };
         let held = report.models.iter().find(|held| held.model == id.model);
         held.is_some_and(|held| id.adapter.as_ref().is_none_or(|a| held.adapters.contains(a)))
     }
 
-    /// Requests that run with a model, as far as routers say.
+    /// Requests that run with a model, as reported by routers that have polled recently.
     pub(crate) fn running(&self, model: &ModelName) -> u32 {
         let Some(usage) = self.usage.get(model) else { return 0 };
-        let heard = usage.running.values().filter(|(_, heard)| heard.fresh());
-        heard.map(|(count, _)| count).sum()
+        let recent = usage.running.values().filter(|(_, poll)| poll.is_recent());
+        recent.map(|(count, _)| count).sum()
     }
 
-    /// Requests a second for a model, of late.
-    pub(crate) fn rate(&self, model: &ModelName, now: Instant) -> f64 {
+    /// The recent rate of requests for a model, per second.
+    pub(crate) fn request_rate(&self, model: &ModelName, now: Instant) -> f64 {
         self.usage.get(model).map_or(0.0, |usage| usage.rate_at(now))
     }
 
-    /// Routers that are heard.
-    pub(crate) fn heard(&self) -> u32 {
-        let heard = self.routers.values().filter(|heard| heard.fresh()).count();
-        u32::try_from(heard).unwrap_or(u32::MAX)
+    /// The number of routers that have polled recently.
+    pub(crate) fn active_routers(&self) -> u32 {
+        let active = self.routers.values().filter(|poll| poll.is_recent()).count();
+        u32::try_from(active).unwrap_or(u32::MAX)
     }
 
     /// Requests that run with any model.
-    pub(crate) fn all_running(&self) -> u32 {
+    pub(crate) fn total_running(&self) -> u32 {
         self.usage.keys().map(|model| self.running(model)).sum()
     }
 
-    /// When a request for a model last began.
-    pub(crate) fn last(&self, model: &ModelName) -> Option<Instant> {
-        self.usage.get(model).and_then(|usage| usage.last)
+    /// When a model was last used.
+    pub(crate) fn last_used(&self, model: &ModelName) -> Option<Instant> {
+        self.usage.get(model).and_then(|usage| usage.last_used)
     }
 
-    /// Notes that a model is used now.
-    pub(crate) fn touch(&mut self, model: &ModelName, now: Instant) {
-        self.usage.entry(model.clone()).or_default().last = Some(now);
+    /// Marks a model as used now.
+    pub(crate) fn mark_used(&mut self, model: &ModelName, now: Instant) {
+        self.usage.entry(model.clone()).or_default().last_used = Some(now);
     }
 
-    /// Accelerator memory taken by weights and adapters, loaded or on their way.
-    pub(crate) fn taken(&self) -> Size {
+    /// Accelerator memory taken by weights, by adapters and by adapters that are being loaded.
+    pub(crate) fn used_memory(&self) -> Size {
         let (Some(report), Some(engine)) = (&self.report, &self.engine) else { return Size(0) };
         let weights = |model: &ModelName| engine.model(model).map_or(Size(0), |spec| spec.weights);
         let adapter = |model: &ModelName| engine.model(model).map_or(Size(0), |spec| spec.adapter);
         let models: Size = report.models.iter().map(|held| weights(&held.model)).sum();
         let adapters =
             report.models.iter().map(|h| Size(adapter(&h.model).0 * h.adapters.len() as u64));
-        let incoming = report.incoming.iter().map(|id| adapter(&id.model));
-        models + adapters.sum() + incoming.sum()
+        let loading = report.incoming.iter().map(|id| adapter(&id.model));
+        models + adapters.sum() + loading.sum()
     }
 
-    /// Adapters that are loaded or on their way.
-    pub(crate) fn places(&self) -> u32 {
+    /// Adapters that are loaded or being loaded.
+    pub(crate) fn adapter_count(&self) -> u32 {
         let Some(report) = &self.report else { return 0 };
         let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
         u32::try_from(held + report.incoming.len()).unwrap_or(u32::MAX)
--- a/components/loader/src/view/tests.rs
+++ b/components/loader/src/view/tests.rs
@@ -1,23 +1,23 @@
-//! Tests of what is known and wanted.
+//! Tests of the loader's view of its endpoint.
 
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn a_router_counts_for_as_long_as_it_said_that_it_waits() {
-    let mut ledger = Ledger::default();
+async fn a_router_counts_until_it_misses_polls_at_its_own_interval() {
+    let mut view = EndpointView::default();
     let now = Instant::now();
-    let hear = |ledger: &mut Ledger, name: &str, wait| {
-        let heard = Heard { at: now, wait };
-        ledger.routers.insert(name.to_owned(), heard);
-        let usage = ledger.usage.entry("a".parse().expect("a name")).or_default();
-        usage.running.insert(name.to_owned(), (3, heard));
+    let record_poll = |view: &mut EndpointView, name: &str, wait| {
+        let poll = LastPoll { at: now, wait };
+        view.routers.insert(name.to_owned(), poll);
+        let usage = view.usage.entry("a".parse().expect("a name")).or_default();
+        usage.running.insert(name.to_owned(), (3, poll));
     };
-    hear(&mut ledger, "often", Duration::from_secs(1));
-    hear(&mut ledger, "seldom", Duration::from_secs(8));
+    record_poll(&mut view, "frequent", Duration::from_secs(1));
+    record_poll(&mut view, "infrequent", Duration::from_secs(8));
     let model: ModelName = "a".parse().expect("a name");
-    assert_eq!((ledger.heard(), ledger.running(&model)), (2, 6));
+    assert_eq!((view.active_routers(), view.running(&model)), (2, 6));
     tokio::time::advance(Duration::from_secs(5)).await;
-    assert_eq!((ledger.heard(), ledger.running(&model)), (1, 3));
+    assert_eq!((view.active_routers(), view.running(&model)), (1, 3));
     tokio::time::advance(Duration::from_secs(12)).await;
-    assert_eq!((ledger.heard(), ledger.running(&model)), (0, 0));
+    assert_eq!((view.active_routers(), view.running(&model)), (0, 0));
 }
