--- a/components/loader/src/controller.rs
+++ b/components/loader/src/controller.rs
@@ -24,19 +24,20 @@
 mod permits;
 mod publish;
 
-/// The interval between reports while nothing is in progress. A report older than this is renewed if models are requested.
-/// It is also the retry delay for models whose order the endpoint refused, and the assumed time of a load from the weight
-/// store for a model that the configuration doesn't describe.
+/// The interval between reports while nothing is in progress. A report older than this is renewed if models are
+/// requested. It is also the retry delay for models whose order the endpoint refused, and the assumed time of a load
+/// from the weight store for a model that the configuration doesn't describe.
 const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The interval between reports while an order for a model is carried out; a load from host memory takes a few hundred
 /// milliseconds. Also the assumed duration of an unload, and of a load whose model the configuration doesn't describe.
 const ORDER_INTERVAL: Duration = Duration::from_millis(40);
-/// The interval between reports while an adapter is being loaded, which takes a few milliseconds, or a model is evicted.
+/// The interval between reports while an adapter is being loaded, which takes a few milliseconds, or a model is
+/// evicted.
 const ADAPTER_INTERVAL: Duration = Duration::from_millis(8);
 /// The timeout of orders and reports; the endpoint runs on the same instance.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A report up to this old suffices to answer that a model is loaded. Routers ask for models that they found missing, and
-/// a wrong answer costs each of them a retry.
+/// A report up to this old suffices to answer that a model is loaded. Routers ask for models that they found missing,
+/// and a wrong answer costs each of them a retry.
 const MAX_READY_REPORT_AGE: Duration = Duration::from_millis(100);
 /// The delay after an order that was not accepted or got no answer, before the next one; until then a report shows what
 /// became of the order. Also the interval between reports while models are requested.
@@ -76,10 +77,10 @@
     endpoint: Option<EndpointId>,
     /// The incarnation of the endpoint in the last report.
     incarnation: Option<Life>,
-    /// Whether the endpoint has said in this incarnation that it is draining. No later report takes that back, since it may
-    /// be older than the time it is read.
+    /// Whether the endpoint has said in this incarnation that it is draining. No later report takes that back, since it
+    /// may be older than the time it is read.
     draining: bool,
-    /// The id under which the endpoint last refused an order, since it has another one by now.
+    /// The id in the last order that the endpoint refused because it has restarted with another id.
     rejected_id: Option<EndpointId>,
     engine_version: Revision,
     view: EndpointView,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Whether the report is too old to act on: the endpoint may have changed since.
+    /// Whether the report is too old to act on: orders may have been carried out since.
     fn needs_report(&self) -> bool {
         let stale = self.last_report.is_none_or(|at| at.elapsed() > IDLE_INTERVAL);
         !self.view.requested.is_empty() && stale
@@ -298,8 +299,8 @@
         }
     }
 
-    /// Handles a restart of the endpoint under the same id: what it ran, held, loaded or was about to evict is gone. Models
-    /// that routers wait for remain requested.
+    /// Handles a restart of the endpoint under the same id: what it ran, held, loaded or was about to evict is gone.
+    /// Models that routers wait for remain requested.
     fn handle_restart(&mut self) {
         emit(&Event::Member {
             endpoint: self.endpoint.as_ref().map_or("", |id| id.as_str()),
--- a/components/loader/src/controller/orders.rs
+++ b/components/loader/src/controller/orders.rs
@@ -65,8 +65,8 @@
                 self.pending = None;
                 self.answer(&target, Verdict::Refused(IDLE_INTERVAL));
             }
-            // The next report shows whether the order was carried out. If it arrives late, the endpoint rejects it, since its
-            // sequence number has changed.
+            // The next report shows whether the order was carried out. If it arrives late, the endpoint rejects it,
+            // since its sequence number has changed.
             Ok(Outcome::Busy) | Err(_) => {
                 self.pending = None;
                 self.paused_until = Some(Instant::now() + RETRY_DELAY);
--- a/components/loader/src/controller/permits.rs
+++ b/components/loader/src/controller/permits.rs
@@ -8,8 +8,8 @@
 use crate::plan;
 
 impl Controller {
-    /// Requests a permit for the model to load from the weight store next, if that has changed, and updates which model has
-    /// the permit.
+    /// Requests a permit for the model to load from the weight store next, if that has changed, and updates which model
+    /// has the permit.
     pub(super) fn update_permit(&mut self) {
         let request = plan::next_store_load(&self.view).map(|(model, demand)| {
             let spec = self.view.engine.as_ref().and_then(|engine| engine.model(model));
--- a/components/loader/src/fence.rs
+++ b/components/loader/src/fence.rs
@@ -1,9 +1,9 @@
 //! The fencing token of a loader: the position of a record that it appends to the store when it starts, and again when
 //! the endpoint has refused an order because it has seen a higher token.
 //!
-//! Positions only grow, even if an instance is replaced, its clock steps, or the store was unreachable in between or was
-//! restored from an older copy. A loader without a token gives no orders; its endpoint continues to serve the models that
-//! it holds.
+//! Positions only grow, even if an instance is replaced, its clock steps, or the store was unreachable in between or
+//! was restored from an older copy. A loader without a token gives no orders; its endpoint continues to serve the
+//! models that it holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,8 +21,8 @@
 /// The longest delay between attempts; calls to the store are paid for.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Appends a start record, and another one each time that `refused` reports a refused token. `start` has the position of
-/// the newest one, or nothing while it is being appended.
+/// Appends a start record, and another one each time that `refused` reports a refused token. `start` has the position
+/// of the newest one, or nothing while it is being appended.
 pub(crate) async fn maintain_start_record(
     store: Store,
     instance: String,
--- a/components/loader/src/permit.rs
+++ b/components/loader/src/permit.rs
@@ -17,8 +17,8 @@
 /// The pause between reads for a model in high demand: a small part of the time of its load.
 const HIGH_DEMAND_READ_PAUSE: Duration = Duration::from_millis(150);
 /// The pause between reads for other models, whose loads may begin somewhat later: each call to the store is paid for,
-/// and each record is read by all loaders that wait. Without the longer pause, 53 loaders make twice as many calls. Also the
-/// pause after a call that failed.
+/// and each record is read by all loaders that wait. Without the longer pause, 53 loaders make twice as many calls.
+/// Also the pause after a call that failed.
 const READ_PAUSE: Duration = Duration::from_secs(2);
 /// The pause between reads by a loader that needs no permit, while lost records are being appended again.
 const SETTLING_READ_PAUSE: Duration = Duration::from_millis(500);
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Reads the records to find out whether the store was restored from an older copy, after a router has reported a later
-    /// era; returns whether it was.
+    /// Reads the records to find out whether the store was restored from an older copy, after a router has reported a
+    /// later era; returns whether it was.
     async fn check_era(&mut self, records: &mut Records) -> bool {
         let era = *self.highest_era.borrow_and_update();
         let read = records.read(Duration::ZERO).await;
@@ -156,9 +156,9 @@
         self.handle_idle_read(read).await
     }
 
-    /// Handles a read by a loader that isn't waiting for a permit; returns whether the store was restored from an older copy.
-    /// After a restore such a loader, too, reads until all loaders have appended their records again: with a later read
-    /// it couldn't tell in which order permits were granted meanwhile.
+    /// Handles a read by a loader that isn't waiting for a permit; returns whether the store was restored from an older
+    /// copy. After a restore such a loader, too, reads until all loaders have appended their records again: with a
+    /// later read it couldn't tell in which order permits were granted meanwhile.
     async fn handle_idle_read(&mut self, read: Result<ReadOutcome, StoreError>) -> bool {
         match read {
             Ok(outcome) => {
@@ -286,8 +286,8 @@
         Received::NoCommand
     }
 
-    /// Handles a read by a loader that waits for a permit: the permit may be granted, the store restored from an older copy
-    /// or unreachable.
+    /// Handles a read by a loader that waits for a permit: the permit may be granted, the store restored from an older
+    /// copy or unreachable.
     fn handle_read(
         &mut self,
         read: Result<ReadOutcome, StoreError>,
@@ -308,9 +308,9 @@
         }
     }
 
-    /// Handles a call that failed while the loader waits for a permit. Without the store the loaders can't agree, so each
-    /// loader begins its load when its turn would come by the records read last. If all began at once, forty loads would
-    /// run where the store serves one at full speed, and none would complete in time.
+    /// Handles a call that failed while the loader waits for a permit. Without the store the loaders can't agree, so
+    /// each loader begins its load when its turn would come by the records read last. If all began at once, forty loads
+    /// would run where the store serves one at full speed, and none would complete in time.
     fn handle_store_error(
         &mut self,
         error: &StoreError,
--- a/components/loader/src/permit/tests.rs
+++ b/components/loader/src/permit/tests.rs
@@ -127,7 +127,8 @@
     wait_for_permits(&loaders, RECOVERY_TIME, |now| now == [2, 3]).await;
 }
 
-/// Failure: the requests of waiting loaders are lost, and they get no permit until they renew them, twenty seconds later.
+/// Failure: the requests of waiting loaders are lost, and they get no permit until they renew them, twenty seconds
+/// later.
 #[tokio::test]
 async fn waiting_loaders_get_permits_after_a_restore() {
     let store = Standin::start().await;
--- a/components/loader/src/plan.rs
+++ b/components/loader/src/plan.rs
@@ -1,10 +1,11 @@
 //! The next action of the controller: a pure decision, without input or output.
 //!
 //! Load pattern: bursts for models that take turns in an accelerator that can't hold all of them. Models that requests
-//! wait for go before models that are only prefetched; among the former the one with the most waiting requests goes first,
-//! and of equal ones the one asked for first. The time that requests have waited is not considered otherwise, since that
-//! gains nothing. The model that was used longest ago is evicted. A model with running requests first gets no new ones
-//! and is unloaded when they have ended, since an unload waits for running requests and blocks all other orders.
+//! wait for are loaded before models that are only prefetched, in the order of their waiting requests; at an equal
+//! number the model asked for first is loaded first. The time that requests have waited is not considered otherwise,
+//! since that gains nothing. The model that was used longest ago is evicted. A model with running requests first gets
+//! no new ones and is unloaded when they have ended, since an unload waits for running requests and blocks all other
+//! orders.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -17,8 +18,8 @@
 
 use crate::view::{EndpointView, RequestedModel};
 
-/// A model is not evicted for this long after it was loaded or used; otherwise two models with alternating requests would
-/// evict each other.
+/// A model is not evicted for this long after it was loaded or used; otherwise two models with alternating requests
+/// would evict each other.
 const MIN_RESIDENCE: Duration = Duration::from_millis(400);
 /// A model that is only prefetched evicts only models that haven't been used for this long.
 const PREFETCH_MIN_IDLE: Duration = Duration::from_secs(4);
@@ -30,8 +31,8 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The usual duration of a drain: the rest of a request of which half is over.
 const USUAL_DRAIN: Duration = Duration::from_millis(500);
-/// A model is evicted only if fewer requests arrive for it within this time than wait for the model that needs the room,
-/// since loading it again takes about as long.
+/// A model is evicted only if fewer requests arrive for it within this time than wait for the model that needs the
+/// room, since loading it again takes about as long.
 const RELOAD_TIME: Duration = Duration::from_secs(1);
 /// The number of adapters that are loaded on one endpoint at once.
 const MAX_LOADING_ADAPTERS: usize = 4;
@@ -103,8 +104,8 @@
     }
 }
 
-/// The model to load from the weight store next, with its demand: requests a second plus the number of requests that wait
-/// for it. A model that has the permit stays the next one for as long as it is requested.
+/// The model to load from the weight store next, with its demand: requests a second plus the number of requests that
+/// wait for it. A model that has the permit stays the next one for as long as it is requested.
 pub(crate) fn next_store_load(view: &EndpointView) -> Option<(&ModelName, f64)> {
     let requested = view.requested.iter().filter(|(id, _)| !is_loaded(view, &id.model));
     let from_store = requested.filter(|(id, _)| needs_store(view, &id.model));
--- a/components/loader/src/queue.rs
+++ b/components/loader/src/queue.rs
@@ -4,9 +4,9 @@
 //! requested from a store that serves four loads at full speed, through loaders that don't know of each other. Twelve
 //! loads at once take 18 s each instead of 6, and the most requested model may be among the last.
 //!
-//! All loaders append their requests for a permit, and the ends of their loads, to one topic of the platform's store, and
-//! all apply the same records in the same order. The permits go to the loaders with the highest demand, and all loaders
-//! come to the same result. There is no leader election, and nothing else is stored: the start record of a
+//! All loaders append their requests for a permit, and the ends of their loads, to one topic of the platform's store,
+//! and all apply the same records in the same order. The permits go to the loaders with the highest demand, and all
+//! loaders come to the same result. There is no leader election, and nothing else is stored: the start record of a
 //! loader that restarts withdraws its request and its permit.
 
 use std::cmp::Ordering;
@@ -22,8 +22,8 @@
 /// many loads run concurrently, it would still be complete by then.
 const LOST_LOAD_FACTOR: u32 = 4;
 /// A loader without a permit renews its request within this time. A request that isn't renewed for twice this time is
-/// dropped; until a permit is granted to it, it costs the other loaders nothing. Requests are renewed no more often,
-/// since each record is read by all loaders that wait.
+/// dropped; before that, a request of a loader that is gone costs the others nothing until a permit is granted to it.
+/// Requests are renewed no more often, since each record is read by all loaders that wait.
 pub(crate) const RENEW_INTERVAL: Duration = Duration::from_secs(20);
 
 /// A record of the topic.
@@ -69,7 +69,7 @@
     position: u64,
     /// When the loader last requested the permit.
     requested: Instant,
-    /// Since when the loader has a permit, and how many loaders have had one during that time.
+    /// Since when the loader has a permit, and how many loaders had permits at once during that time.
     permit: Option<(Instant, ConcurrentLoads)>,
 }
 
@@ -80,8 +80,8 @@
     }
 }
 
-/// Compares two waiting entries; the lesser one goes first. A second copy of a model that is being loaded goes behind all
-/// models that have none on the way.
+/// Compares two waiting entries; the lesser one goes first. A second copy of a model that is being loaded goes behind
+/// all models that have none on the way.
 fn compare_priority(a: &Entry, b: &Entry, loading: &[ModelName]) -> Ordering {
     let is_second = |entry: &Entry| loading.contains(&entry.model);
     let demand = b.demand.total_cmp(&a.demand);
@@ -109,8 +109,8 @@
         self.grant_permits(now);
     }
 
-    /// Drops requests after the store was restored from an older copy. Loads in progress go on and keep their permits, even
-    /// if their loaders can't reach the store. Waiting loaders request again, and get no permit before
+    /// Drops requests after the store was restored from an older copy. Loads in progress go on and keep their permits,
+    /// even if their loaders can't reach the store. Waiting loaders request again, and get no permit before
     /// [`Self::end_restore`].
     pub(crate) fn begin_restore(&mut self) {
         self.entries.retain(|_, entry| entry.permit.is_some());
@@ -132,7 +132,8 @@
                 let (position, mut permit) =
                     before.map_or((self.applied, None), |entry| (entry.position, entry.permit));
                 if loading {
-                    // How many loads ran before the restore is lost. A minimum of 1 keeps this load from raising the limit.
+                    // How many loads ran before the restore is lost. A minimum of 1 keeps this load from raising the
+                    // limit.
                     let concurrent = ConcurrentLoads { min: 1, max: self.taken_permits() + 1 };
                     permit = permit.or(Some((now, concurrent)));
                 }
@@ -160,8 +161,9 @@
         self.entries.get(loader).filter(|entry| entry.permit.is_some()).map(|entry| &entry.model)
     }
 
-    /// How long after the store became unreachable a loader may load although no loader can append anything: as if each load took as long as it takes alone, in the order of the records. Loaders without a
-    /// request follow, ordered by name.
+    /// How long after the store became unreachable a loader may begin its load without a permit: the loads take place
+    /// in the order of the records, as if each took as long as it takes alone. Loaders without a request in the records
+    /// follow, ordered by name.
     pub(crate) fn offline_delay(&self, loader: &str, solo_time: Duration) -> Duration {
         let loading: Vec<ModelName> =
             self.entries.values().filter_map(Entry::loading_model).collect();
--- a/components/loader/src/queue/tests.rs
+++ b/components/loader/src/queue/tests.rs
@@ -114,14 +114,14 @@
     assert_eq!(rounds, [1, 1, 2, 2, 3, 0, 0, 3]);
 }
 
-/// Simulates a weight store that serves `capacity` loads at full speed, and more of them slower in proportion, while each
-/// loader loads one model after another. Returns when each load was complete, with its model, in order.
+/// Simulates a weight store that serves `capacity` loads at full speed, and more of them slower in proportion, while
+/// each loader loads one model after another. Returns when each load was complete, with its model, in order.
 fn simulate(capacity: u32, models: usize, loaders: usize) -> Vec<(Duration, usize)> {
     const STEP: Duration = Duration::from_millis(100);
     let start = Instant::now();
     let mut queue = PermitQueue::default();
-    // For each loader the model that it requests, the remaining load time, and when the load began; the first models have
-    // the highest demand.
+    // For each loader the model that it requests, the remaining load time, and when the load began; the first models
+    // have the highest demand.
     let mut loads: Vec<Option<(usize, Duration, Option<Instant>)>> = vec![None; loaders];
     let mut left: std::collections::VecDeque<usize> = (0..models).collect();
     let (mut done, mut now) = (Vec::new(), start);
@@ -205,8 +205,8 @@
     }
 }
 
-/// A load runs alone at first, and concurrently with another one when its record is lost and appended again. It must not
-/// seem to have run concurrently all the time: four permits would be granted on a store known to serve two loads.
+/// A load runs alone at first, and concurrently with another one when its record is lost and appended again. It must
+/// not seem to have run concurrently all the time: four permits would be granted on a store known to serve two loads.
 #[tokio::test(start_paused = true)]
 async fn loads_whose_records_were_lost_do_not_raise_the_limit() {
     let now = Instant::now();
--- a/components/loader/src/records.rs
+++ b/components/loader/src/records.rs
@@ -10,8 +10,8 @@
 use crate::fence::TOPIC;
 use crate::queue::PermitQueue;
 
-/// The number of records before the loader's own start that are read, since they may be about a load in progress: ten for
-/// each of some fifty loaders. With more loaders, one that has just started may take a permit too many, once.
+/// The number of records before the loader's own start that are read, since they may be about a load in progress: ten
+/// for each of some fifty loaders. With more loaders, one that has just started may take a permit too many, once.
 const LOOKBACK_RECORDS: u64 = 512;
 /// After the store was restored from an older copy, all loaders append again, within this time, the records that still
 /// apply and may be lost. Each does so at a random moment, since hundreds of loaders notice the restore at once.
--- a/components/loader/src/view.rs
+++ b/components/loader/src/view.rs
@@ -64,10 +64,11 @@
     }
 }
 
-/// A router that hasn't polled for this long has no requests at the endpoint any more, or is cut off and will report its
-/// requests later.
+/// A router that hasn't polled for this long has no requests at the endpoint any more, or is cut off and will report
+/// its requests later.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same timeout as a multiple of the time that the router waits for an answer, since it polls again right after that.
+/// The same timeout as a multiple of the time that the router waits for an answer, since it polls again right after
+/// that.
 const ROUTER_TIMEOUT_WAITS: u32 = 2;
 
 /// The last poll of a router.
@@ -84,8 +85,8 @@
     }
 }
 
-/// The eviction of a model to make room for another one: the model gets no new requests and is unloaded when its last one
-/// has ended.
+/// The eviction of a model to make room for another one: the model gets no new requests and is unloaded when its last
+/// one has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Eviction {
     pub(crate) model: ModelName,
--- a/components/placement/src/candidate.rs
+++ b/components/placement/src/candidate.rs
@@ -16,7 +16,8 @@
     pub holdings: Option<&'a Holdings>,
     /// Requests of this router that run there.
     pub running: u32,
-    /// Requests of all routers that run there, as last reported by the endpoint's loader; at least those of this router.
+    /// Requests of all routers that run there, as last reported by the endpoint's loader; at least those of this
+    /// router.
     pub total_running: u32,
     /// The time that the endpoint is expected to need for the prompts of all routers that it has yet to process.
     pub backlog: Duration,
--- a/components/placement/src/choose.rs
+++ b/components/placement/src/choose.rs
@@ -1,8 +1,8 @@
 //! Which endpoint serves a request.
 //!
-//! Load pattern: bursts for one model through many routers at once, while accelerator memory is scarce. The replica that
-//! is expected to respond first is preferred. Where callers don't notice the difference, replicas in the router's own
-//! failure domain are preferred to others, and all routers rank the replicas alike, so that the remaining replicas
+//! Load pattern: bursts for one model through many routers at once, while accelerator memory is scarce. The replica
+//! that is expected to respond first is preferred. Where callers don't notice the difference, replicas in the router's
+//! own failure domain are preferred to others, and all routers rank the replicas alike, so that the remaining replicas
 //! become idle and can be evicted.
 
 use std::time::Duration;
@@ -16,8 +16,8 @@
 const FULL_ENDPOINT_COST_MS: f64 = 20.0;
 /// The cost of a request to another failure domain, in milliseconds: the round trip, and traffic that is paid for.
 const OTHER_DOMAIN_COST_MS: f64 = 4.0;
-/// The cost of each recent failure at an endpoint without models, in milliseconds: one failure ranks the endpoint behind
-/// an endpoint that is half full.
+/// The cost of each recent failure at an endpoint without models, in milliseconds: one failure ranks the endpoint
+/// behind an endpoint that is half full.
 const FAILURE_COST_MS: f64 = 10.0;
 /// Expected times to the first event count as equal within this time, since callers don't notice the difference.
 const LATENCY_STEP: Duration = Duration::from_millis(25);
@@ -25,8 +25,8 @@
 const SCARCE_MEMORY_LATENCY_STEP: Duration = Duration::from_millis(100);
 /// With more than this part of its slots taken, an engine makes requests wait for others to end.
 const CROWDED_SLOT_SHARE: f64 = 0.9;
-/// The expected wait for a slot is this time multiplied by the part of the slots that is taken beyond the limit; about the
-/// duration of one request.
+/// The expected wait for a slot is this time multiplied by the part of the slots that is taken beyond the limit; about
+/// the duration of one request.
 const SLOT_WAIT: Duration = Duration::from_millis(500);
 
 /// The endpoint that gets a request.
@@ -38,8 +38,8 @@
     pub first_event: Duration,
 }
 
-/// Chooses the best endpoint that can serve a request now. `id` is the model that the endpoint must hold, if the service
-/// runs models; `prefill` is the time that the request's prompt takes; `local` is the router's failure domain.
+/// Chooses the best endpoint that can serve a request now. `id` is the model that the endpoint must hold, if the
+/// service runs models; `prefill` is the time that the request's prompt takes; `local` is the router's failure domain.
 pub fn choose_endpoint(
     candidates: &[Candidate<'_>],
     id: Option<&ModelId>,
--- a/components/placement/src/demand.rs
+++ b/components/placement/src/demand.rs
@@ -1,9 +1,10 @@
 //! The demand for one model as one router sees it, and the number of replicas that the model needs.
 //!
-//! Load pattern: demand shifts within a second to a model with a single replica, or returns for all models at once after
-//! a power failure. An engine processes prompts one after another, so a single replica is soon late with all of them,
-//! and the pauses of its streams grow with the prompts that it processes. The time that a model takes for a prompt is
-//! not known beforehand, and small models are ten times as fast as large ones; it is learned from first events.
+//! Load pattern: demand shifts within a second to a model with a single replica, or returns for all models at once
+//! after a power failure. An engine processes prompts one after another, so a single replica is soon late with all of
+//! them, and the pauses of its streams grow with the prompts that it processes. The time that a model takes for a
+//! prompt is not known beforehand, and small models are ten times as fast as large ones; it is learned from first
+//! events.
 
 use std::time::Duration;
 
@@ -24,7 +25,8 @@
 /// The weight of an event that came later than expected: the request may have waited for work that this router doesn't
 /// know of.
 const LATE_EVENT_WEIGHT: f64 = 0.2;
-/// An event counts as no later than this many times the expected time; otherwise a single one would outweigh all others.
+/// An event counts as no later than this many times the expected time; otherwise a single one would outweigh all
+/// others.
 const MAX_LATENESS_FACTOR: f64 = 4.0;
 /// A model is never taken to be more than this many times slower or faster than initially assumed.
 const MAX_SPEED_RATIO: f64 = 20.0;
@@ -50,8 +52,8 @@
     rates_updated: Option<Instant>,
 }
 
-/// A linear fit of the time until the first event (`y`, in milliseconds) over the prompt tokens to be processed before it
-/// (`x`), as weighted sums. The slope is the prefill time per token, the intercept the time that is not prefill. The
+/// A linear fit of the time until the first event (`y`, in milliseconds) over the prompt tokens to be processed before
+/// it (`x`), as weighted sums. The slope is the prefill time per token, the intercept the time that is not prefill. The
 /// intercept differs tenfold among engines; if it counted as prefill, models would seem to need several times the
 /// endpoints that they do.
 #[derive(Debug, Clone, Copy)]
@@ -146,8 +148,8 @@
         self.request_rate * remaining_weight(self.rates_updated, now, ARRIVAL_TIME_CONSTANT)
     }
 
-    /// Learns from a first event that came after `took`, where `expected` is the prefill time of the request's own prompt
-    /// and of all prompts before it.
+    /// Learns from a first event that came after `took`, where `expected` is the prefill time of the request's own
+    /// prompt and of all prompts before it.
     pub fn learn(&mut self, expected: Duration, took: Duration) {
         let expected = expected.as_secs_f64() * 1_000.0;
         let max = (self.latency.fixed_ms() + expected) * MAX_LATENESS_FACTOR;
--- a/components/placement/src/load_target.rs
+++ b/components/placement/src/load_target.rs
@@ -26,8 +26,8 @@
 const QUEUED_MODEL_DELAY: Duration = Duration::from_millis(500);
 /// The delay by the additional order that makes room.
 const EVICTION_ORDER_DELAY: Duration = Duration::from_millis(150);
-/// The delay by each request of this router that runs on the endpoint: running requests make it likely that the load has
-/// to wait for room.
+/// The delay by each request of this router that runs on the endpoint: running requests make it likely that the load
+/// has to wait for room.
 const RUNNING_REQUEST_DELAY: Duration = Duration::from_millis(15);
 
 /// Where the weights of a replica may come from.
--- a/components/placement/src/prefetch.rs
+++ b/components/placement/src/prefetch.rs
@@ -1,10 +1,10 @@
 //! Which models are loaded before a request waits for them, where, and in what order.
 //!
-//! Load pattern: many rare models, each requested a few times a day, and a weight store that delivers one model every few
-//! seconds. A model with a copy on any endpoint is ready in under a second; one without is late for its first callers.
-//! So the permits for loads from the store are used from the start, with one load per endpoint, and each model is loaded
-//! once. When a release replaces endpoints by new ones without copies, most models lack a copy at once, including the
-//! ones that all callers request, so the most requested models are loaded first.
+//! Load pattern: many rare models, each requested a few times a day, and a weight store that delivers one model every
+//! few seconds. A model with a copy on any endpoint is ready in under a second; one without is late for its first
+//! callers. So the permits for loads from the store are used from the start, with one load per endpoint, and each model
+//! is loaded once. When a release replaces endpoints by new ones without copies, most models lack a copy at once,
+//! including the ones that all callers request, so the most requested models are loaded first.
 
 use std::collections::HashSet;
 
--- a/components/placement/src/scale_out.rs
+++ b/components/placement/src/scale_out.rs
@@ -1,8 +1,8 @@
 //! Whether one more endpoint should load a model that others hold already.
 //!
 //! Load pattern: demand shifts within a second to a model with one replica, through many routers at once. Each router
-//! decides for itself from the requests that it has sent and from what the loaders report, so an endpoint that was asked
-//! to load the model counts as a replica.
+//! decides for itself from the requests that it has sent and from what the loaders report, so an endpoint that was
+//! asked to load the model counts as a replica.
 
 use std::time::Duration;
 
