--- a/components/loader/src/controller.rs
+++ b/components/loader/src/controller.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use catalog::ModelId;
-use control::{State, Verdict};
+use control::{EndpointState, EnsureOutcome};
 use events::{Dependency, Event, emit, millis};
 use fleet::Tier;
-use platform::{Work, read_report};
+use platform::{Operation, fetch_report};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
-use units::{EndpointId, Life, Revision, StorePosition};
+use units::{EndpointId, EndpointIncarnation, Revision, StorePosition};
 use web::Client;
 
 use crate::permit::{PermitHandle, PermitRequest};
@@ -46,7 +46,7 @@
 /// An order that is being carried out.
 #[derive(Debug, Clone)]
 struct PendingOrder {
-    work: Work,
+    operation: Operation,
     target: ModelId,
     tier: Tier,
     since: Instant,
@@ -73,10 +73,10 @@
     /// The permit request last sent to the permit task.
     permit_request: Option<PermitRequest>,
     commands: mpsc::Receiver<Command>,
-    state: watch::Sender<State>,
+    state: watch::Sender<EndpointState>,
     endpoint: Option<EndpointId>,
     /// The incarnation of the endpoint in the last report.
-    incarnation: Option<Life>,
+    incarnation: Option<EndpointIncarnation>,
     /// Whether the endpoint has said in this incarnation that it is draining. No later report takes that back, since it
     /// may be older than the time it is read.
     draining: bool,
@@ -99,7 +99,7 @@
         token: TokenSource,
         permit: PermitHandle,
         commands: mpsc::Receiver<Command>,
-        state: watch::Sender<State>,
+        state: watch::Sender<EndpointState>,
     ) -> Self {
         Self {
             instance,
@@ -163,7 +163,8 @@
     }
 
     fn report_interval(&self) -> Duration {
-        let loading_adapter = self.view.report.as_ref().is_some_and(|r| !r.incoming.is_empty());
+        let loading_adapter =
+            self.view.report.as_ref().is_some_and(|r| !r.loading_adapters.is_empty());
         if loading_adapter || self.pending.as_ref().is_some_and(|p| p.target.adapter.is_some()) {
             ADAPTER_INTERVAL
         } else if self.pending.is_some() {
@@ -194,7 +195,7 @@
                 self.adopt_id(&poll.endpoint);
                 let last_poll = LastPoll { at: now, wait: poll.wait };
                 self.view.routers.insert(poll.router.clone(), last_poll);
-                if Life::differ(self.incarnation, poll.life) {
+                if EndpointIncarnation::differ(self.incarnation, poll.incarnation) {
                     // The poll reports requests that ended with another incarnation of the endpoint.
                     return;
                 }
@@ -221,7 +222,7 @@
                 let recent = self.last_report.is_some_and(|at| at.elapsed() < MAX_READY_REPORT_AGE);
                 if self.view.holds(&ensure.target) {
                     if recent {
-                        let _ = reply.send(Verdict::Ready);
+                        let _ = reply.send(EnsureOutcome::Ready);
                         return;
                     }
                     // The router may have found the model missing, so a new report is read before it is confirmed.
@@ -241,10 +242,10 @@
                 requested.deadline = requested.deadline.max(deadline);
                 requested.replies.push(reply);
             }
-            Command::Engine(news) => {
-                if news.version > self.engine_version {
-                    self.engine_version = news.version;
-                    self.view.engine = Some(news.engine);
+            Command::Engine(update) => {
+                if update.version > self.engine_version {
+                    self.engine_version = update.version;
+                    self.view.engine = Some(update.engine);
                 }
             }
         }
@@ -259,7 +260,7 @@
 
     /// Reads a report of the endpoint.
     async fn update_report(&mut self) {
-        match read_report(&self.client, self.addr, ENDPOINT_TIMEOUT).await {
+        match fetch_report(&self.client, self.addr, ENDPOINT_TIMEOUT).await {
             Ok(mut report) => {
                 if self.unreachable {
                     let after = self.last_report.map_or(Duration::ZERO, |at| at.elapsed());
@@ -271,10 +272,10 @@
                 }
                 self.unreachable = false;
                 self.last_report = Some(Instant::now());
-                if Life::differ(self.incarnation, report.life) {
+                if EndpointIncarnation::differ(self.incarnation, report.incarnation) {
                     self.handle_restart();
                 }
-                self.incarnation = report.life.or(self.incarnation);
+                self.incarnation = report.incarnation.or(self.incarnation);
                 self.draining |= report.draining;
                 report.draining = self.draining;
                 let ended = self.pending.take_if(|_| !report.busy);
@@ -322,15 +323,15 @@
             view.requested.keys().filter(|id| view.holds(id)).cloned().collect();
         for id in ready {
             self.view.mark_used(&id.model, now);
-            self.answer(&id, Verdict::Ready);
+            self.answer(&id, EnsureOutcome::Ready);
         }
         self.view.requested.retain(|_, requested| requested.deadline > now);
     }
 
-    fn answer(&mut self, id: &ModelId, verdict: Verdict) {
+    fn answer(&mut self, id: &ModelId, outcome: EnsureOutcome) {
         let Some(requested) = self.view.requested.remove(id) else { return };
         for reply in requested.replies {
-            let _ = reply.send(verdict);
+            let _ = reply.send(outcome);
         }
     }
 
@@ -353,15 +354,15 @@
                 true
             }
             Action::Refuse(id, after) => {
-                self.answer(&id, Verdict::Refused(after));
+                self.answer(&id, EnsureOutcome::Refused(after));
                 true
             }
-            Action::Order(work, target) => {
+            Action::Order(operation, target) => {
                 let start = *self.token.start.borrow();
                 let Some((start, endpoint)) = start.zip(self.endpoint.clone()) else {
                     return false;
                 };
-                self.order(work, target, start.into(), endpoint).await;
+                self.order(operation, target, start.into(), endpoint).await;
                 true
             }
         }
--- a/components/loader/src/controller/orders.rs
+++ b/components/loader/src/controller/orders.rs
@@ -1,10 +1,10 @@
 //! The orders that a controller gives, and their outcomes.
 
 use catalog::ModelId;
-use control::Verdict;
-use events::{Event, Given, emit, millis};
+use control::EnsureOutcome;
+use events::{Event, OrderOutcome, emit, millis};
 use fleet::Tier;
-use platform::{Fence, Order, Outcome, Work, call_order};
+use platform::{Fence, Operation, Order, OrderReply, send_order};
 use tokio::time::Instant;
 use units::{EndpointId, FencingToken};
 
@@ -16,58 +16,58 @@
     /// Gives an order, and handles the endpoint's answer.
     pub(super) async fn order(
         &mut self,
-        work: Work,
+        operation: Operation,
         target: ModelId,
         token: FencingToken,
         endpoint: EndpointId,
     ) {
         let sequence = self.view.report.as_ref().map(|report| report.sequence);
         let fence = Fence { holder: self.instance.clone(), token };
-        let order = Order { endpoint: &endpoint, work, target: &target, sequence };
-        self.pending = Some(self.pending_order(work, &target));
+        let order = Order { endpoint: &endpoint, operation, target: &target, sequence };
+        self.pending = Some(self.pending_order(operation, &target));
         self.publish();
-        let called = call_order(&self.client, self.addr, &fence, &order, ENDPOINT_TIMEOUT).await;
-        let outcome = called.map(|(outcome, notice)| {
-            self.record_draining(notice.leaving);
-            outcome
+        let called = send_order(&self.client, self.addr, &fence, &order, ENDPOINT_TIMEOUT).await;
+        let reply = called.map(|(reply, hints)| {
+            self.record_draining(hints.draining);
+            reply
         });
-        let given = match &outcome {
-            Ok(Outcome::Accepted) => Given::Accepted,
-            Ok(Outcome::Done) => Given::Done,
-            Ok(Outcome::Busy) => Given::Busy,
-            Ok(Outcome::Fenced) => Given::Fenced,
-            Ok(Outcome::Other(_)) => Given::Other,
-            Ok(Outcome::Refused(_)) => Given::Refused,
-            Err(_) => Given::Unknown,
+        let outcome = match &reply {
+            Ok(OrderReply::Accepted) => OrderOutcome::Accepted,
+            Ok(OrderReply::AlreadyDone) => OrderOutcome::Done,
+            Ok(OrderReply::Busy) => OrderOutcome::Busy,
+            Ok(OrderReply::Fenced) => OrderOutcome::Fenced,
+            Ok(OrderReply::OtherInstance(_)) => OrderOutcome::Other,
+            Ok(OrderReply::Refused(_)) => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unknown,
         };
         emit(&Event::Order {
             endpoint: endpoint.as_str(),
-            work: if work == Work::Load { "load" } else { "unload" },
+            work: if operation == Operation::Load { "load" } else { "unload" },
             model: &target.to_string(),
             sequence: sequence.unwrap_or_default(),
-            outcome: given,
+            outcome,
         });
-        match outcome {
-            Ok(Outcome::Accepted | Outcome::Done) => {}
-            Ok(Outcome::Fenced) => {
+        match reply {
+            Ok(OrderReply::Accepted | OrderReply::AlreadyDone) => {}
+            Ok(OrderReply::Fenced) => {
                 self.pending = None;
                 self.paused_until = Some(Instant::now() + RETRY_DELAY);
                 self.token.refused.notify_one();
             }
-            Ok(Outcome::Other(id)) => {
+            Ok(OrderReply::OtherInstance(id)) => {
                 self.pending = None;
                 self.rejected_id = Some(endpoint);
                 self.endpoint = id;
                 self.draining = false;
                 self.view.report = None;
             }
-            Ok(Outcome::Refused(_)) => {
+            Ok(OrderReply::Refused(_)) => {
                 self.pending = None;
-                self.answer(&target, Verdict::Refused(IDLE_INTERVAL));
+                self.answer(&target, EnsureOutcome::Refused(IDLE_INTERVAL));
             }
             // The next report shows whether the order was carried out. If it arrives late, the endpoint rejects it,
             // since its sequence number has changed.
-            Ok(Outcome::Busy) | Err(_) => {
+            Ok(OrderReply::Busy) | Err(_) => {
                 self.pending = None;
                 self.paused_until = Some(Instant::now() + RETRY_DELAY);
             }
@@ -85,7 +85,8 @@
     /// Handles the end of an order: releases the permit, and logs a load if the model is there.
     pub(super) fn finish_order(&mut self, ended: &PendingOrder) {
         self.release_permit(ended);
-        let Some(endpoint) = self.endpoint.as_ref().filter(|_| ended.work == Work::Load) else {
+        let Some(endpoint) = self.endpoint.as_ref().filter(|_| ended.operation == Operation::Load)
+        else {
             return;
         };
         if self.view.holds(&ended.target) {
@@ -100,17 +101,17 @@
     }
 
     /// Describes an order that is given now, with its expected duration.
-    fn pending_order(&self, work: Work, target: &ModelId) -> PendingOrder {
+    fn pending_order(&self, operation: Operation, target: &ModelId) -> PendingOrder {
         let spec = self.view.engine.as_ref().and_then(|engine| engine.model(&target.model));
         let copies = self.view.report.as_ref().map(|report| &report.copies);
         let tier = match &target.adapter {
             Some(_) => Tier::Adapter,
             None => copies.map_or(Tier::Store, |copies| copies.tier(&target.model)),
         };
-        let expected = match work {
-            Work::Load => spec.map_or(ORDER_INTERVAL, |spec| tier.load(spec)),
-            Work::Unload => ORDER_INTERVAL,
+        let expected = match operation {
+            Operation::Load => spec.map_or(ORDER_INTERVAL, |spec| tier.load_time(spec)),
+            Operation::Unload => ORDER_INTERVAL,
         };
-        PendingOrder { work, target: target.clone(), tier, since: Instant::now(), expected }
+        PendingOrder { operation, target: target.clone(), tier, since: Instant::now(), expected }
     }
 }
--- a/components/loader/src/controller/permits.rs
+++ b/components/loader/src/controller/permits.rs
@@ -1,7 +1,7 @@
 //! The controller's permit to load from the weight store.
 
 use fleet::Tier;
-use platform::Work;
+use platform::Operation;
 
 use crate::controller::{Controller, IDLE_INTERVAL, PendingOrder};
 use crate::permit::{self, PermitCommand, PermitRequest};
@@ -13,7 +13,7 @@
     pub(super) fn update_permit(&mut self) {
         let request = plan::next_store_load(&self.view).map(|(model, demand)| {
             let spec = self.view.engine.as_ref().and_then(|engine| engine.model(model));
-            let solo_time = spec.map_or(IDLE_INTERVAL, |spec| spec.cold);
+            let solo_time = spec.map_or(IDLE_INTERVAL, |spec| spec.store_load);
             PermitRequest { model: model.clone(), demand, solo_time }
         });
         let same = match (&self.permit_request, &request) {
@@ -35,7 +35,7 @@
 
     /// Releases the permit after a load from the weight store, with the time that the load took if the model is there.
     pub(super) fn release_permit(&mut self, ended: &PendingOrder) {
-        if ended.work != Work::Load || ended.tier != Tier::Store {
+        if ended.operation != Operation::Load || ended.tier != Tier::Store {
             return;
         }
         let took = ended.since.elapsed();
--- a/components/loader/src/controller/publish.rs
+++ b/components/loader/src/controller/publish.rs
@@ -1,9 +1,9 @@
 //! The state that a loader publishes to the routers.
 
-use control::Load;
+use control::EndpointLoad;
 use events::{Event, emit};
 use fleet::{Holdings, Loading, Tier};
-use platform::Work;
+use platform::Operation;
 use tokio::time::Instant;
 
 use crate::controller::Controller;
@@ -15,53 +15,54 @@
         let now = Instant::now();
         let report = self.view.report.as_ref();
         let pending = self.pending.as_ref().filter(|pending| pending.target.adapter.is_none());
-        let loading = pending.filter(|p| p.work == Work::Load).map(|p| Loading {
+        let loading = pending.filter(|p| p.operation == Operation::Load).map(|p| Loading {
             model: p.target.model.clone(),
             cold: p.tier == Tier::Store,
-            left: (p.since + p.expected).saturating_duration_since(now),
+            remaining: (p.since + p.expected).saturating_duration_since(now),
         });
-        let evicted = pending.filter(|p| p.work == Work::Unload).map(|p| p.target.model.clone());
+        let evicted =
+            pending.filter(|p| p.operation == Operation::Unload).map(|p| p.target.model.clone());
         let evicted =
             evicted.or(self.view.eviction.as_ref().map(|eviction| eviction.model.clone()));
-        let (running, room) = (self.view.total_running(), plan::room_wait(&self.view, now));
+        let (running, room_wait) = (self.view.total_running(), plan::room_wait(&self.view, now));
         let holdings = Holdings {
             models: report.map(|report| report.models.clone()).unwrap_or_default(),
             copies: report.map(|report| report.copies.clone()).unwrap_or_default(),
             loading,
-            leaving: evicted.into_iter().collect(),
+            evicting: evicted.into_iter().collect(),
         };
         let awaited =
             self.view.requested.values().filter(|requested| requested.total_waiting() > 0).count();
         let waiting = u32::try_from(awaited).unwrap_or(u32::MAX);
         let draining = report.is_some_and(|report| report.draining);
-        let able = report.is_some()
+        let can_order = report.is_some()
             && !draining
             && self.token.start.borrow().is_some()
             && self.view.engine.is_some();
         self.state.send_if_modified(|state| {
             let same = state.holdings.models == holdings.models
-                && state.holdings.leaving == holdings.leaving
+                && state.holdings.evicting == holdings.evicting
                 && state.holdings.copies == holdings.copies
                 && state.holdings.loading.as_ref().map(|l| &l.model)
                     == holdings.loading.as_ref().map(|l| &l.model)
-                && state.able == able
+                && state.can_order == can_order
                 && state.draining == draining
-                && state.room == room
-                && state.engine == self.engine_version
+                && state.room_wait == room_wait
+                && state.engine_version == self.engine_version
                 && state.endpoint == self.endpoint
-                && state.life == self.incarnation;
-            state.load = Load { waiting, running, routers: self.view.active_routers() };
+                && state.incarnation == self.incarnation;
+            state.load = EndpointLoad { waiting, running, routers: self.view.active_routers() };
             if same {
                 return false;
             }
             state.version += 1;
             state.holdings = holdings;
-            state.able = able;
+            state.can_order = can_order;
             state.draining = draining;
-            state.room = room;
-            state.engine = self.engine_version;
+            state.room_wait = room_wait;
+            state.engine_version = self.engine_version;
             state.endpoint = self.endpoint.clone();
-            state.life = self.incarnation;
+            state.incarnation = self.incarnation;
             emit(&Event::Holds {
                 endpoint: state.endpoint.as_ref().map_or("", |id| id.as_str()),
                 models: state.holdings.models.len(),
--- a/components/loader/src/plan.rs
+++ b/components/loader/src/plan.rs
@@ -12,7 +12,7 @@
 
 use catalog::{Engine, ModelId};
 use fleet::Tier;
-use platform::Work;
+use platform::Operation;
 use tokio::time::Instant;
 use units::{ModelName, Size};
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Action {
     /// Give this order.
-    Order(Work, ModelId),
+    Order(Operation, ModelId),
     /// Begin to evict this model: routers send it no new requests.
     Evict(ModelName),
     /// Cancel the eviction in progress, since the room is not needed any more.
@@ -81,7 +81,7 @@
         return Action::Refuse((*id).clone(), RETRY_AFTER);
     };
     if spec.weights <= engine.memory.saturating_sub(view.used_memory()) {
-        return Action::Order(Work::Load, ModelId { model: id.model.clone(), adapter: None });
+        return Action::Order(Operation::Load, ModelId { model: id.model.clone(), adapter: None });
     }
     match &view.eviction {
         Some(eviction) if !is_loaded(view, &eviction.model) => Action::CancelEviction,
@@ -90,7 +90,7 @@
             let drained = view.running(&eviction.model) == 0 && since >= EVICTION_NOTICE;
             if drained || since >= DRAIN_TIMEOUT {
                 Action::Order(
-                    Work::Unload,
+                    Operation::Unload,
                     ModelId { model: eviction.model.clone(), adapter: None },
                 )
             } else {
@@ -184,24 +184,26 @@
         id.adapter.is_some()
             && is_loaded(view, &id.model)
             && !view.holds(id)
-            && !report.incoming.contains(id)
+            && !report.loading_adapters.contains(id)
     });
     let (id, _) = missing?;
-    if report.incoming.len() >= MAX_LOADING_ADAPTERS {
+    if report.loading_adapters.len() >= MAX_LOADING_ADAPTERS {
         return None;
     }
     let size = engine.model(&id.model).map_or(Size(0), |spec| spec.adapter);
     let fits = size <= engine.memory.saturating_sub(view.used_memory());
     if fits && view.adapter_count() < engine.adapters {
-        return Some(Action::Order(Work::Load, id.clone()));
+        return Some(Action::Order(Operation::Load, id.clone()));
     }
     match evictable_adapter(view, now) {
-        Some(adapter) => Some(Action::Order(Work::Unload, adapter)),
+        Some(adapter) => Some(Action::Order(Operation::Unload, adapter)),
         // If the endpoint is busy with an order for a model, its end is waited for; otherwise no room will be freed.
         None if report.busy => None,
         None => {
             match eviction_candidate(view, 1, now).filter(|model| *model != id.model && !fits) {
-                Some(model) => Some(Action::Order(Work::Unload, ModelId { model, adapter: None })),
+                Some(model) => {
+                    Some(Action::Order(Operation::Unload, ModelId { model, adapter: None }))
+                }
                 None => Some(Action::Refuse(id.clone(), RETRY_AFTER)),
             }
         }
--- a/components/loader/src/plan/tests.rs
+++ b/components/loader/src/plan/tests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use catalog::ModelSpec;
-use fleet::{Copies, Held};
-use platform::{Notice, Report};
+use fleet::{LoadedModel, WeightCopies};
+use platform::{EndpointHints, Report};
 
 use super::*;
 use crate::view::{Eviction, LastPoll};
@@ -22,36 +22,36 @@
     let spec = ModelSpec {
         weights: Size(40),
         adapter: Size(1),
-        cold: Duration::from_secs(6),
-        disk: Duration::from_millis(500),
-        warm: Duration::from_millis(300),
+        store_load: Duration::from_secs(6),
+        disk_load: Duration::from_millis(500),
+        memory_load: Duration::from_millis(300),
     };
     let names = ["a", "b", "c", "d"];
     let engine = Engine {
         slots: 64,
-        tokens: 1_000,
+        cache_tokens: 1_000,
         memory: Size(90),
         adapters: 2,
-        host: Size(60),
+        host_memory: Size(60),
         disk: Size(500),
-        rate: 7.0,
+        load_rate: 7.0,
         models: names.map(|text| (name(text), spec.clone())).into(),
     };
-    let held = |(model, adapters): &(&str, &[&str])| Held {
+    let held = |(model, adapters): &(&str, &[&str])| LoadedModel {
         model: name(model),
         adapters: adapters.iter().map(|text| text.parse().expect("an adapter")).collect(),
     };
     let report = Report {
-        life: None,
+        incarnation: None,
         models: models.iter().map(held).collect(),
-        incoming: Vec::new(),
-        copies: Copies { memory: Vec::new(), disk: names.map(name).into() },
+        loading_adapters: Vec::new(),
+        copies: WeightCopies { memory: Vec::new(), disk: names.map(name).into() },
         busy: false,
         sequence: 1,
         running: 0,
         queued: 0,
         draining: false,
-        notice: Notice::default(),
+        hints: EndpointHints::default(),
     };
     EndpointView { engine: Some(engine), report: Some(report), ..EndpointView::default() }
 }
@@ -85,7 +85,7 @@
     let mut view = view_with(&[("a", &[])]);
     let now = Instant::now();
     request(&mut view, "b", 1, now);
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("b")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("b")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,7 +95,7 @@
     request(&mut view, "c", 5, now);
     assert!(matches!(next_action(&view, now), Action::Evict(_)));
     view.report.as_mut().expect("a report").models.pop();
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("c")));
     view.report.as_mut().expect("a report").busy = true;
     assert_eq!(next_action(&view, now), Action::Wait, "one order at a time");
 }
@@ -113,7 +113,7 @@
     let now = later(EVICTION_NOTICE).await;
     assert_eq!(next_action(&view, now), Action::Wait, "one request runs");
     run(&mut view, "a", 0, now);
-    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -124,7 +124,7 @@
     view.eviction = Some(Eviction { model: name("a"), since: start });
     request(&mut view, "c", 1, start);
     let now = later(DRAIN_TIMEOUT).await;
-    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Unload, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -160,9 +160,9 @@
     let now = later(Duration::from_millis(500)).await;
     request(&mut view, "a", 9, now);
     request(&mut view, "b", 1, now);
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("a")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("a")));
     view.requested.remove(&id("a"));
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -173,7 +173,7 @@
     let now = later(MIN_RESIDENCE).await;
     view.adapters_asked.insert(id("a/y"), now);
     request(&mut view, "a/z", 1, now);
-    assert_eq!(next_action(&view, now), Action::Order(Work::Unload, id("a/x")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Unload, id("a/x")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -198,10 +198,10 @@
     let report = view.report.as_ref().expect("a report");
     let models = report.models.len() as u64 * 40;
     let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
-    let adapters = (held + report.incoming.len()) as u64;
+    let adapters = (held + report.loading_adapters.len()) as u64;
     let more = match action {
-        Action::Order(Work::Load, id) if id.adapter.is_some() => 1,
-        Action::Order(Work::Load, _) => 40,
+        Action::Order(Operation::Load, id) if id.adapter.is_some() => 1,
+        Action::Order(Operation::Load, _) => 40,
         _ => 0,
     };
     models + adapters + more
@@ -230,7 +230,7 @@
             let report = view.report.as_mut().expect("a report");
             report.busy = busy;
             if let Some((model, _)) = models.first() {
-                report.incoming = (0..incoming).map(|n| id(&format!("{model}/in{n}"))).collect();
+                report.loading_adapters = (0..incoming).map(|n| id(&format!("{model}/in{n}"))).collect();
             }
             for (model, adapter, waiting) in requests {
                 let text = match adapter {
@@ -261,7 +261,7 @@
     assert_eq!(view.total_running(), 0);
     assert_eq!(next_action(&view, now), Action::Wait, "no order before a report");
     view.report = super::tests::view_with(&[]).report;
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("c")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("c")));
 }
 
 #[tokio::test(start_paused = true)]
@@ -272,9 +272,9 @@
     request(&mut view, "a", 9, now);
     assert_eq!(next_action(&view, now), Action::Wait);
     request(&mut view, "b", 1, now);
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("b")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("b")));
     view.permit = Some(name("a"));
-    assert_eq!(next_action(&view, now), Action::Order(Work::Load, id("a")));
+    assert_eq!(next_action(&view, now), Action::Order(Operation::Load, id("a")));
 }
 
 #[tokio::test(start_paused = true)]
--- a/components/loader/src/router_api.rs
+++ b/components/loader/src/router_api.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use control::{
-    ENGINE_PATH, ENSURE_PATH, EngineNews, Ensure, Ensured, POLL_PATH, Poll, Polled, State, Verdict,
+    ENGINE_PATH, ENSURE_PATH, EndpointState, EngineUpdate, EnsureOutcome, EnsureRequest,
+    EnsureResponse, POLL_PATH, PollRequest, PollResponse,
 };
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -22,18 +23,18 @@
 #[derive(Debug)]
 pub(crate) enum Command {
     /// A router polls, and reports the models that it uses.
-    Poll(Poll),
+    Poll(PollRequest),
     /// A router asks for a model.
-    Ensure(Ensure, oneshot::Sender<Verdict>),
+    Ensure(EnsureRequest, oneshot::Sender<EnsureOutcome>),
     /// A router reports what the endpoint can hold.
-    Engine(EngineNews),
+    Engine(EngineUpdate),
 }
 
 /// Answers one request of a router; cheap to clone.
 #[derive(Debug, Clone)]
 pub(crate) struct RouterApi {
     pub(crate) commands: mpsc::Sender<Command>,
-    pub(crate) state: watch::Receiver<State>,
+    pub(crate) state: watch::Receiver<EndpointState>,
     /// The highest era of the store that a router has reported.
     pub(crate) highest_era: watch::Sender<Era>,
 }
@@ -49,20 +50,20 @@
             Ok(bytes) => bytes,
             Err(error) => return web::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        let answered = match parts.uri.path() {
+        let response = match parts.uri.path() {
             POLL_PATH => self.poll(&bytes).await,
             ENSURE_PATH => self.ensure(&bytes).await,
             ENGINE_PATH => self.engine(&bytes).await,
             _ => return web::text(StatusCode::NOT_FOUND, "no such call\n"),
         };
-        answered.unwrap_or_else(|error| {
+        response.unwrap_or_else(|error| {
             let text = format!("the message can't be read: {error}\n");
             web::text(StatusCode::BAD_REQUEST, text)
         })
     }
 
     async fn poll(mut self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let poll: Poll = serde_json::from_slice(bytes)?;
+        let poll: PollRequest = serde_json::from_slice(bytes)?;
         let (seen, wait, era) = (poll.seen, poll.wait.min(MAX_WAIT), poll.era);
         self.highest_era.send_if_modified(|highest| {
             let later = era > *highest;
@@ -72,30 +73,30 @@
         let _ = self.commands.send(Command::Poll(poll)).await;
         let changed = self.state.wait_for(|state| state.version != seen);
         let changed = tokio::time::timeout(wait, changed).await.is_ok();
-        let polled = if changed {
-            Polled::News(Box::new(self.state.borrow().clone()))
+        let response = if changed {
+            PollResponse::Changed(Box::new(self.state.borrow().clone()))
         } else {
-            Polled::Same(self.state.borrow().load)
+            PollResponse::Unchanged(self.state.borrow().load)
         };
-        Ok(web::json(StatusCode::OK, &polled))
+        Ok(web::json(StatusCode::OK, &response))
     }
 
     async fn ensure(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let ensure: Ensure = serde_json::from_slice(bytes)?;
+        let ensure: EnsureRequest = serde_json::from_slice(bytes)?;
         let within = ensure.within.min(MAX_WAIT);
-        let (reply, verdict) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let _ = self.commands.send(Command::Ensure(ensure, reply)).await;
-        let verdict = match tokio::time::timeout(within, verdict).await {
-            Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) | Err(_) => Verdict::Refused(UNANSWERED_RETRY_AFTER),
+        let outcome = match tokio::time::timeout(within, outcome).await {
+            Ok(Ok(outcome)) => outcome,
+            Ok(Err(_)) | Err(_) => EnsureOutcome::Refused(UNANSWERED_RETRY_AFTER),
         };
         let state = self.state.borrow().clone();
-        Ok(web::json(StatusCode::OK, &Ensured { verdict, state }))
+        Ok(web::json(StatusCode::OK, &EnsureResponse { outcome, state }))
     }
 
     async fn engine(self, bytes: &Bytes) -> Result<Response<Body>, serde_json::Error> {
-        let news: EngineNews = serde_json::from_slice(bytes)?;
-        let _ = self.commands.send(Command::Engine(news)).await;
+        let update: EngineUpdate = serde_json::from_slice(bytes)?;
+        let _ = self.commands.send(Command::Engine(update)).await;
         Ok(self.current_state())
     }
 
--- a/components/loader/src/view.rs
+++ b/components/loader/src/view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use catalog::{Engine, ModelId};
-use control::Verdict;
+use control::EnsureOutcome;
 use platform::Report;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -21,8 +21,8 @@
     pub(crate) deadline: Instant,
     /// When it was first asked for.
     pub(crate) since: Instant,
-    /// Where the verdict is sent.
-    pub(crate) replies: Vec<oneshot::Sender<Verdict>>,
+    /// Where the outcome is sent.
+    pub(crate) replies: Vec<oneshot::Sender<EnsureOutcome>>,
 }
 
 impl RequestedModel {
@@ -173,7 +173,7 @@
         let models: Size = report.models.iter().map(|held| weights(&held.model)).sum();
         let adapters =
             report.models.iter().map(|h| Size(adapter(&h.model).0 * h.adapters.len() as u64));
-        let loading = report.incoming.iter().map(|id| adapter(&id.model));
+        let loading = report.loading_adapters.iter().map(|id| adapter(&id.model));
         models + adapters.sum() + loading.sum()
     }
 
@@ -181,7 +181,7 @@
     pub(crate) fn adapter_count(&self) -> u32 {
         let Some(report) = &self.report else { return 0 };
         let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
-        u32::try_from(held + report.incoming.len()).unwrap_or(u32::MAX)
+        u32::try_from(held + report.loading_adapters.len()).unwrap_or(u32::MAX)
     }
 }
 
--- a/components/placement/src/choose/tests.rs
+++ b/components/placement/src/choose/tests.rs
@@ -74,7 +74,7 @@
 fn a_replica_that_is_being_evicted_gets_no_new_requests() {
     let mut endpoints = TestEndpoints::new(2);
     (0..2).for_each(|index| endpoints.hold(index, "m", &[]));
-    endpoints.holdings[0].leaving = vec!["m".parse().expect("a name")];
+    endpoints.holdings[0].evicting = vec!["m".parse().expect("a name")];
     let id: ModelId = "m".parse().expect("an id");
     assert_eq!(chosen(&endpoints, Some(&id)), Some(1));
 }
--- a/components/placement/src/load_target.rs
+++ b/components/placement/src/load_target.rs
@@ -95,16 +95,17 @@
     engine: &Engine,
 ) -> (Tier, Duration) {
     let tier = holdings.tier(model);
-    let load = tier.load(spec);
+    let load = tier.load_time(spec);
     if tier == Tier::Adapter {
         return (tier, load + RUNNING_REQUEST_DELAY * candidate.running);
     }
     if let Some(loading) = &holdings.loading
         && loading.model == *model
     {
-        return (tier, loading.left);
+        return (tier, loading.remaining);
     }
-    let current_load = holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.left);
+    let current_load =
+        holdings.loading.as_ref().map_or(Duration::ZERO, |loading| loading.remaining);
     let has_room = candidate.free_memory(engine) >= spec.weights;
     let room = if has_room { Duration::ZERO } else { EVICTION_ORDER_DELAY + candidate.room_wait };
     (
--- a/components/placement/src/load_target/tests.rs
+++ b/components/placement/src/load_target/tests.rs
@@ -77,7 +77,8 @@
 fn an_endpoint_that_is_loading_the_model_is_chosen() {
     let mut endpoints = TestEndpoints::new(3);
     let left = Duration::from_secs(2);
-    endpoints.holdings[1].loading = Some(fleet::Loading { model: name("a"), cold: true, left });
+    endpoints.holdings[1].loading =
+        Some(fleet::Loading { model: name("a"), cold: true, remaining: left });
     let target =
         choose_load_target(&endpoints.candidates(), &id("a"), &engine(), LoadSource::CopiesOnly)
             .expect("a target");
--- a/components/placement/src/prefetch/tests.rs
+++ b/components/placement/src/prefetch/tests.rs
@@ -14,7 +14,7 @@
     endpoints.copy(0, "a");
     endpoints.hold(1, "b", &[]);
     endpoints.holdings[2].loading =
-        Some(fleet::Loading { model: name("c"), cold: true, left: std::time::Duration::ZERO });
+        Some(fleet::Loading { model: name("c"), cold: true, remaining: std::time::Duration::ZERO });
     let planned =
         plan_prefetch(&endpoints.candidates(), &engine(), permits(8), &HashSet::new(), |_| 0.0);
     let names: Vec<&str> = planned.iter().map(|(model, _)| model.as_str()).collect();
--- a/components/router/src/flight.rs
+++ b/components/router/src/flight.rs
@@ -6,20 +6,20 @@
 use catalog::{Catalog, Route};
 use events::{Event, Refusal, Step, emit, millis};
 use http::StatusCode;
-use platform::{Call, Reply, Sending};
+use platform::{ForwardOptions, RequestHeaders, ResponseKind};
 use tokio::time::Instant;
-use units::{EndpointId, Life, ServiceName};
+use units::{EndpointId, EndpointIncarnation, ServiceName};
 
 use crate::access::{self, Identity};
 use crate::caller::Caller;
 use crate::charge::Charge;
 use crate::choose::{self, NoPlace, Wanted};
-use crate::ended;
+use crate::crash_check;
+use crate::crash_records;
 use crate::exchange::{self, Answer, Outgoing, Patience, Sent};
-use crate::guard::{Barred, Pass};
-use crate::ledger;
+use crate::guard::{Rejection, SendPermit};
 use crate::place::Place;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 use crate::shared::Shared;
 
 /// Sends of one request that did not run, at most: refusals of full endpoints and closed connections.
@@ -47,7 +47,7 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
-    pub(crate) call: Call,
+    pub(crate) call: RequestHeaders,
     pub(crate) name: String,
     pub(crate) class: String,
     pub(crate) outgoing: Outgoing,
@@ -56,19 +56,19 @@
     pub(crate) start: Instant,
     pub(crate) tried: Vec<EndpointId>,
     /// The life of the endpoint that it was last sent to.
-    pub(crate) life: Option<Life>,
+    pub(crate) life: Option<EndpointIncarnation>,
     /// How often it was sent.
     pub(crate) sends: u32,
     /// How often it may have run.
     pub(crate) runs: u32,
     /// The life of the endpoint that it was last sent to, as this router reaches it.
-    pub(crate) pool: Option<Arc<Pool>>,
+    pub(crate) pool: Option<Arc<ConnectionPool>>,
     /// Whose it is.
     pub(crate) identity: Identity,
     /// What it takes from the limit of its workspace.
     pub(crate) charge: Option<Charge>,
     /// Leave to send it.
-    pub(crate) pass: Option<Pass>,
+    pub(crate) pass: Option<SendPermit>,
 }
 
 impl Flight {
@@ -98,9 +98,9 @@
             self.sends += 1;
             self.spend(true);
             let now = Instant::now();
-            let sending = Sending {
+            let sending = ForwardOptions {
                 endpoint: &id,
-                left: self.due.saturating_duration_since(now),
+                time_left: self.due.saturating_duration_since(now),
                 priority: self.priority(),
                 last_event,
                 workspace: self.identity.workspace().map(|workspace| &workspace.name),
@@ -127,7 +127,7 @@
                 Sent::Unsent(cause) => {
                     self.spend(false);
                     self.step(Step::Broken, &id, &cause);
-                    self.shared.known.failed(&id, self.life, &cause);
+                    self.shared.known.record_failure(&id, self.life, &cause);
                     if self.sends >= SENDS {
                         return Err(self.failed(Refusal::NoEndpoint, None));
                     }
@@ -149,7 +149,7 @@
     async fn enter(&mut self) -> Result<(), Failure> {
         let digest = self.outgoing.digest;
         let held = self.pass.take();
-        let barred = match self.shared.guard.enter(&digest, held, self.start).await {
+        let barred = match self.shared.guard.acquire(&digest, held, self.start).await {
             Ok(pass) => {
                 self.pass = Some(pass);
                 return Ok(());
@@ -157,22 +157,24 @@
             Err(barred) => barred,
         };
         let mut tried = None;
-        if let Barred::Due(number) = barred {
-            tried = ledger::claim(&self.shared, &digest, number).await;
+        if let Rejection::TrialDue(number) = barred {
+            tried = crash_records::claim_trial(&self.shared, &digest, number).await;
         }
-        if barred != Barred::Busy {
+        if barred != Rejection::Busy {
             emit(&Event::Barred {
                 request: &self.name,
                 digest: &digest.to_string(),
                 tried: tried.is_some(),
-                ends: &self.shared.guard.ends(&digest),
+                ends: &self.shared.guard.evidence_text(&digest),
             });
         }
         self.pass = tried;
         match (&self.pass, barred) {
             (Some(_), _) => Ok(()),
-            (None, Barred::Busy) => Err(self.failed(Refusal::TimedOut, Some(SOON))),
-            (None, Barred::Suspect | Barred::Due(_)) => Err(self.failed(Refusal::Crashes, None)),
+            (None, Rejection::Busy) => Err(self.failed(Refusal::TimedOut, Some(SOON))),
+            (None, Rejection::Suspect | Rejection::TrialDue(_)) => {
+                Err(self.failed(Refusal::Crashes, None))
+            }
         }
     }
 
@@ -197,7 +199,7 @@
 
     /// Notes that its endpoint has outlived it.
     pub(crate) fn outlived(&self) {
-        self.shared.guard.clear(&self.outgoing.digest);
+        self.shared.guard.record_completion(&self.outgoing.digest);
     }
 
     fn wanted<'a>(&'a self, tried: &'a [EndpointId]) -> Wanted<'a> {
@@ -211,7 +213,7 @@
             due: self.start,
             since: Instant::now(),
             tried,
-            apart: self.pass.as_ref().is_some_and(|pass| pass.apart),
+            apart: self.pass.as_ref().is_some_and(|pass| pass.isolated),
         }
     }
 
@@ -256,7 +258,7 @@
     pub(crate) fn leave(&mut self, id: &EndpointId, cause: &str) {
         self.step(Step::Broken, id, cause);
         if self.call.model.is_none() {
-            self.shared.known.failed(id, self.life, cause);
+            self.shared.known.record_failure(id, self.life, cause);
         }
         self.tried.push(id.clone());
     }
@@ -269,9 +271,9 @@
 
     async fn judge(&mut self, mut answer: Answer, id: &EndpointId) -> Judged {
         let status = answer.head.status;
-        match platform::read_reply(&self.call.id, status, &answer.head.headers) {
-            Reply::Ran => {
-                self.shared.known.worked(id, self.life);
+        match platform::classify_response(&self.call.id, status, &answer.head.headers) {
+            ResponseKind::Executed => {
+                self.shared.known.record_success(id, self.life);
                 self.runs += 1;
                 let again = self.route.kind == catalog::CallKind::Safe
                     && status.is_server_error()
@@ -284,26 +286,30 @@
                 self.tried.push(id.clone());
                 Judged::Again
             }
-            Reply::NotRun => {
+            ResponseKind::NotExecuted => {
                 self.step(Step::NotRun, id, status.as_str());
                 answer.place.outlived();
                 drop(answer);
                 self.not_run(id).await
             }
-            Reply::Misdirected => {
+            ResponseKind::Misdirected => {
                 self.step(Step::NotRun, id, status.as_str());
                 let other = platform::instance_of(&answer.head.headers).is_some_and(|o| o != *id);
                 answer.place.outlived();
                 drop(answer);
                 match &self.call.model {
-                    Some(model) if !other => self.shared.known.missing(id, self.life, model),
-                    _ => {
-                        self.shared.known.failed(id, self.life, "another endpoint has its address")
+                    Some(model) if !other => {
+                        self.shared.known.record_missing_model(id, self.life, model)
                     }
+                    _ => self.shared.known.record_failure(
+                        id,
+                        self.life,
+                        "another endpoint has its address",
+                    ),
                 }
                 self.not_run(id).await
             }
-            Reply::Foreign => {
+            ResponseKind::Untrusted => {
                 drop(answer);
                 match self.broken(id, "the answer belongs to another request") {
                     Ok(()) => Judged::Again,
@@ -330,9 +336,9 @@
     pub(crate) fn broken(&mut self, id: &EndpointId, cause: &str) -> Result<(), Failure> {
         self.runs += 1;
         self.step(Step::Broken, id, cause);
-        self.shared.known.failed(id, self.life, cause);
+        self.shared.known.record_failure(id, self.life, cause);
         if let Some(pool) = &self.pool {
-            ended::examine(&self.shared, id, self.life, pool);
+            crash_check::start(&self.shared, id, self.life, pool);
         }
         self.tried.push(id.clone());
         let again = self.route.kind.repeatable()
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -14,7 +14,7 @@
 pub(crate) fn is_ready(shared: &Shared) -> bool {
     shared.shutdown.phase() == Phase::Run
         && shared.current().is_some_and(|catalog| serves(shared, &catalog))
-        && shared.known.lock().listed
+        && shared.known.lock().list_loaded
 }
 
 /// Whether there is a route whose requests can be let in.
@@ -22,7 +22,7 @@
     let bound = shared.settings.borrow().bounds.revoke;
     catalog.workspaces.is_none()
         || shared.access.holds(bound)
-        || catalog.routes().any(|route| route.open)
+        || catalog.routes().any(|route| route.anonymous_allowed)
 }
 
 /// Answers the balancer.
