--- a/components/router/src/list.rs
+++ b/components/router/src/list.rs
@@ -92,14 +92,14 @@
     /// Applies what another router knows of the list, unless this one has read further. Returns the endpoints whose entries are
     /// missing; their health is to be checked.
     pub(crate) fn apply_snapshot(&self, snapshot: Snapshot) -> Option<Vec<EndpointId>> {
-        let Snapshot { endpoints, unchanged: kept, missing, read, .. } = snapshot;
+        let Snapshot { endpoints, unchanged, missing, read, .. } = snapshot;
         let mut table = self.lock();
         if table.list_loaded && read <= table.list_position {
             return None;
         }
         let now = Instant::now();
         let listed: HashSet<&EndpointId> =
-            endpoints.iter().map(|endpoint| &endpoint.id).chain(&kept).collect();
+            endpoints.iter().map(|endpoint| &endpoint.id).chain(&unchanged).collect();
         let gone: Vec<EndpointId> =
             table.map.keys().filter(|id| !listed.contains(id)).cloned().collect();
         for id in gone {
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -43,7 +43,7 @@
                 pause / 2
             }
             Some(Health::Unhealthy) => {
-                return shared.known.remove_missing(&id, "it drains or fails");
+                return shared.known.remove_missing(&id, "it is draining or failing");
             }
             Some(Health::OtherInstance) => {
                 return shared.known.remove_missing(&id, "another endpoint is at its address");
