--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -49,7 +49,7 @@
     pub(crate) excluded: &'a [EndpointId],
     /// Whether the request may not share an endpoint with other requests that were at crashed
     /// endpoints.
-    pub(crate) isolated: bool
+    pub(crate) isolated: bool,
 }
 
 impl RequestNeeds<'_> {
@@ -66,7 +66,7 @@
     /// No endpoint of the service can take the request; it may be retried after this time.
     NoEndpoint(Duration),
     /// The model can't be loaded before the deadline; the request may be retried after this time.
-    LoadTooSlow(Duration)
+    LoadTooSlow(Duration),
 }
 
 /// A model to be loaded on an endpoint.
@@ -76,7 +76,7 @@
     /// How long the load is expected to take.
     duration: Duration,
     /// Whether the weights come from the weight store.
-    from_store: bool
+    from_store: bool,
 }
 
 enum SearchResult {
@@ -90,13 +90,13 @@
     /// after this time.
     Paused(Duration),
     /// No endpoint is left that the request could be sent to.
-    NoEndpoint
+    NoEndpoint,
 }
 
 /// Reserves an endpoint for a request, and waits until one can serve it.
 pub(crate) async fn reserve(
     shared: &Arc<Shared>,
-    needs: RequestNeeds<'_>
+    needs: RequestNeeds<'_>,
 ) -> Result<Reservation, ReserveError> {
     if let Some(model) = needs.model {
         let now = Instant::now();
@@ -133,7 +133,7 @@
                         shared,
                         id,
                         target,
-                        LoadRequest { urgent, within, expect: duration, cold: from_store }
+                        LoadRequest { urgent, within, expect: duration, cold: from_store },
                     );
                 }
                 if let Admission::Refuse(after) = admission {
@@ -179,7 +179,7 @@
         };
         ids.push(id.clone());
         candidates.push(
-            tracked.candidate(tracked.can_load(now) && !needs.model.is_some_and(refused), now)
+            tracked.candidate(tracked.can_load(now) && !needs.model.is_some_and(refused), now),
         );
     }
     if let Some(left) = table.service_backoff(needs.service, needs.excluded, now) {
@@ -221,7 +221,7 @@
                 urgent: true,
                 within: duration + CALLER_RETURN_TIME,
                 expect: duration,
-                cold: from_store
+                cold: from_store,
             };
             loader_task::request_load(shared, &id, &target, wish);
         }
@@ -236,7 +236,7 @@
         &model.model,
         engine.slots,
         (count, prefill_time * count),
-        memory_scarce
+        memory_scarce,
     );
     // A load from the weight store is requested at one endpoint only, also while its loader waits
     // for a load permit.
@@ -245,14 +245,14 @@
     let requested = requested.and_then(|id| ids.iter().position(|one| one == id));
     let (first, list) = match requested {
         Some(index) => (index, &candidates[index..=index]),
-        None => (0, &candidates[..])
+        None => (0, &candidates[..]),
     };
     let loads: Vec<PlannedLoad> = placement::choose_load_targets(
         list,
         model,
         engine,
         LoadSource::CopiesOrStore,
-        max_loads as usize
+        max_loads as usize,
     )
     .into_iter()
     .map(|load_target| {
@@ -264,7 +264,7 @@
             id: ids[first + load_target.index].clone(),
             target,
             duration: load_target.ready_in,
-            from_store
+            from_store,
         }
     })
     .collect();
@@ -293,7 +293,7 @@
 pub(crate) fn has_alternative(
     shared: &Arc<Shared>,
     needs: &RequestNeeds<'_>,
-    within: Duration
+    within: Duration,
 ) -> bool {
     let now = Instant::now();
     let mut table = shared.known.lock();
@@ -315,7 +315,7 @@
 fn faster_loading_replica(
     candidates: &[Candidate<'_>],
     needs: &RequestNeeds<'_>,
-    chosen: ChosenEndpoint
+    chosen: ChosenEndpoint,
 ) -> Option<Duration> {
     let model = &needs.model?.model;
     let loads = candidates.iter().filter_map(|one| one.holdings?.loading.as_ref());
@@ -329,7 +329,7 @@
     table: &EndpointTable,
     candidates: &[Candidate<'_>],
     needs: &RequestNeeds<'_>,
-    chosen: ChosenEndpoint
+    chosen: ChosenEndpoint,
 ) -> Option<PlannedLoad> {
     let (model, engine) = needs.model.zip(needs.engine)?;
     let base = ModelId { model: model.model.clone(), adapter: None };
@@ -345,14 +345,13 @@
         table.replicas_needed(&base.model, engine.slots, NO_WAITING_REQUESTS, memory_scarce)
             as usize;
     let target = needs.first_event_target;
-    let replicas =
-        ReplicaStatus { model: &base, asked: &requested, needed, chosen: served: chosen, target };
+    let replicas = ReplicaStatus { model: &base, asked: &requested, needed, chosen, target };
     let load_target = placement::scale_out(candidates, engine, &replicas)?;
     let id = candidates[load_target.index].endpoint.id.clone();
     Some(PlannedLoad {
         id,
         target: base,
         duration: load_target.ready_in,
-        from_store: load_target.tier == Tier::Store
+        from_store: load_target.tier == Tier::Store,
     })
 }
