--- a/components/placement/src/choose.rs
+++ b/components/placement/src/choose.rs
@@ -25,8 +25,8 @@
 const SCARCE_MEMORY_LATENCY_STEP: Duration = Duration::from_millis(100);
 /// With more than this part of its slots taken, an engine makes requests wait for others to end.
 const CROWDED_SLOT_SHARE: f64 = 0.9;
-/// The expected wait for a slot is this time multiplied by the part of the slots that is taken beyond the limit; about
-/// the duration of one request.
+/// The expected wait for a slot is this time multiplied by the part of the slots that is taken beyond
+/// [`CROWDED_SLOT_SHARE`], or beyond [`MAX_MODEL_SLOT_SHARE`] while memory is scarce; about the duration of one request.
 const SLOT_WAIT: Duration = Duration::from_millis(500);
 
 /// The endpoint that gets a request.
--- a/components/placement/src/load_target.rs
+++ b/components/placement/src/load_target.rs
@@ -22,12 +22,12 @@
     pub ready_in: Duration,
 }
 
-/// The delay by each model that is queued at the loader: a load from disk, with its order.
+/// The delay caused by each model that is queued at the loader: a load from disk, with its order.
 const QUEUED_MODEL_DELAY: Duration = Duration::from_millis(500);
-/// The delay by the additional order that makes room.
+/// The delay caused by the additional order that makes room.
 const EVICTION_ORDER_DELAY: Duration = Duration::from_millis(150);
-/// The delay by each request of this router that runs on the endpoint: running requests make it likely that the load
-/// has to wait for room.
+/// The delay caused by each request of this router that runs on the endpoint: running requests make it likely that the
+/// load has to wait for room.
 const RUNNING_REQUEST_DELAY: Duration = Duration::from_millis(15);
 
 /// Where the weights of a replica may come from.
