--- a/components/placement/src/scale_out.rs
+++ b/components/placement/src/scale_out.rs
@@ -20,7 +20,7 @@
     /// The model, without an adapter.
     pub model: &'a ModelId,
     /// For each candidate, whether it was asked to load the model.
-    pub asked: &'a [bool],
+    pub requested: &'a [bool],
     /// The number of replicas that the model should have.
     pub needed: usize,
     /// The replica that serves the current request.
@@ -35,12 +35,12 @@
     engine: &Engine,
     status: &ReplicaStatus<'_>,
 ) -> Option<LoadTarget> {
-    let ReplicaStatus { model, asked, needed, chosen, target } = *status;
+    let ReplicaStatus { model, requested, needed, chosen, target } = *status;
     let holds =
         |candidate: &Candidate<'_>| candidate.holdings.is_some_and(|held| held.holds(&model.model));
     let is_coming = |index: usize| {
         let loading = candidates[index].holdings.and_then(|held| held.loading.as_ref());
-        asked[index] || loading.is_some_and(|loading| loading.model == model.model)
+        requested[index] || loading.is_some_and(|loading| loading.model == model.model)
     };
     let held = candidates.iter().filter(|candidate| holds(candidate)).count();
     let others = || (0..candidates.len()).filter(|index| !holds(&candidates[*index]));
--- a/components/placement/src/scale_out/tests.rs
+++ b/components/placement/src/scale_out/tests.rs
@@ -25,7 +25,7 @@
 ) -> Option<usize> {
     let model = id("a");
     let chosen = ChosenEndpoint { index: 0, first_event };
-    let status = ReplicaStatus { model: &model, asked, needed, chosen, target: TARGET };
+    let status = ReplicaStatus { model: &model, requested: asked, needed, chosen, target: TARGET };
     scale_out(&endpoints.candidates(), &engine(), &status).map(|target| target.index)
 }
 
--- a/components/router/src/choose.rs
+++ b/components/router/src/choose.rs
@@ -100,11 +100,11 @@
 ) -> Result<Reservation, ReserveError> {
     if let Some(model) = needs.model {
         let now = Instant::now();
-        shared.known.lock().demand(&model.model).record_arrival(needs.prompt_tokens, now);
+        shared.endpoints.lock().demand(&model.model).record_arrival(needs.prompt_tokens, now);
     }
     let mut waiting = None;
     loop {
-        let changed = shared.known.changed.notified();
+        let changed = shared.endpoints.changed.notified();
         let time_left = needs.deadline.saturating_duration_since(Instant::now());
         match search(shared, &needs) {
             SearchResult::Reserved(mut reservation) => {
@@ -128,12 +128,12 @@
                     // A loader that may not evict other models still loads the model if there is
                     // room for it.
                     let urgent =
-                        shared.known.lock().may_request_room(&target.model, id, loads.len());
+                        shared.endpoints.lock().may_request_room(&target.model, id, loads.len());
                     loader_task::request_load(
                         shared,
                         id,
                         target,
-                        LoadRequest { urgent, within, expect: duration, cold: from_store },
+                        LoadRequest { urgent, within, expected_duration: duration, from_store },
                     );
                 }
                 if let Admission::Refuse(after) = admission {
@@ -152,7 +152,7 @@
 
 fn search(shared: &Arc<Shared>, needs: &RequestNeeds<'_>) -> SearchResult {
     let now = Instant::now();
-    let mut table = shared.known.lock();
+    let mut table = shared.endpoints.lock();
     let prefill_time = needs.prefill_time(&mut table);
     let (mut ids, mut candidates) = (Vec::new(), Vec::new());
     let mut any_left = false;
@@ -220,8 +220,8 @@
             let wish = LoadRequest {
                 urgent: true,
                 within: duration + CALLER_RETURN_TIME,
-                expect: duration,
-                cold: from_store,
+                expected_duration: duration,
+                from_store,
             };
             loader_task::request_load(shared, &id, &target, wish);
         }
@@ -285,7 +285,7 @@
 /// If all endpoints that may serve a request have asked for a pause: the time until the first of
 /// these pauses ends.
 pub(crate) fn retry_after(shared: &Arc<Shared>, needs: &RequestNeeds<'_>) -> Option<Duration> {
-    shared.known.lock().service_backoff(needs.service, needs.excluded, Instant::now())
+    shared.endpoints.lock().service_backoff(needs.service, needs.excluded, Instant::now())
 }
 
 /// Whether an endpoint that is not in `needs.excluded` is expected to send the first event within
@@ -296,7 +296,7 @@
     within: Duration,
 ) -> bool {
     let now = Instant::now();
-    let mut table = shared.known.lock();
+    let mut table = shared.endpoints.lock();
     let prefill_time = needs.prefill_time(&mut table);
     let usable = |tracked: &&TrackedEndpoint| {
         let id = &tracked.endpoint.id;
@@ -345,7 +345,7 @@
         table.replicas_needed(&base.model, engine.slots, NO_WAITING_REQUESTS, memory_scarce)
             as usize;
     let target = needs.first_event_target;
-    let replicas = ReplicaStatus { model: &base, asked: &requested, needed, chosen, target };
+    let replicas = ReplicaStatus { model: &base, requested: &requested, needed, chosen, target };
     let load_target = placement::scale_out(candidates, engine, &replicas)?;
     let id = candidates[load_target.index].endpoint.id.clone();
     Some(PlannedLoad {
--- a/components/router/src/crash_check.rs
+++ b/components/router/src/crash_check.rs
@@ -82,7 +82,7 @@
 ) {
     let since = Instant::now();
     let (domain, domain_endpoints) = {
-        let table = shared.known.lock();
+        let table = shared.endpoints.lock();
         let domain = table.map.get(&id).map(|tracked| tracked.endpoint.domain.clone());
         let same_domain =
             table.map.values().filter(|tracked| Some(&tracked.endpoint.domain) == domain.as_ref());
@@ -176,7 +176,7 @@
 
 /// What the list and the endpoint's loader show.
 fn check_table(shared: &Shared, id: &EndpointId, pool: &Arc<ConnectionPool>) -> Option<Finding> {
-    let table = shared.known.lock();
+    let table = shared.endpoints.lock();
     match table.map.get(id) {
         Some(tracked) if Arc::ptr_eq(&tracked.pool, pool) => {
             (!tracked.accepts_work()).then_some(Finding::NotCrashed("it was draining"))
@@ -205,8 +205,12 @@
         Ok(Err(_)) | Err(_) => return Answer::Unreachable,
         Ok(Ok(_)) => {}
     }
-    let has_models =
-        shared.known.lock().map.get(id).is_some_and(|tracked| tracked.endpoint.holdings.is_some());
+    let has_models = shared
+        .endpoints
+        .lock()
+        .map
+        .get(id)
+        .is_some_and(|tracked| tracked.endpoint.holdings.is_some());
     if has_models {
         return match platform::fetch_report(&shared.client, addr, CHECK_TIMEOUT).await {
             Ok(report) if EndpointIncarnation::differ(report.incarnation, incarnation) => {
--- a/components/router/src/feed.rs
+++ b/components/router/src/feed.rs
@@ -197,7 +197,7 @@
     shared.access.update_revoked(known, catalog.workspaces.as_ref());
     shared.catalog.send_replace(Some(Arc::new(catalog)));
     emit(&Event::Configured { version, before, routes });
-    shared.known.changed.notify_waiters();
+    shared.endpoints.changed.notify_waiters();
     true
 }
 
@@ -208,15 +208,17 @@
     let mut invalid_keys = BTreeSet::new();
     loop {
         let bounds = shared.settings.borrow().bounds;
-        follower.skip_to(shared.known.lock().list_position);
+        follower.skip_to(shared.endpoints.lock().list_position);
         match follower.next(contact.read_wait(bounds.drain, LIST_READ_INTERVAL)).await {
             Ok(batch) => {
                 contact.record_success();
                 if batch.restored {
                     // Endpoints write their entries again that they had written since the copy was made.
                     contact.returned_at = Some(Instant::now());
-                    let (before, read) =
-                        (shared.known.lock().list_position.to_string(), batch.position.to_string());
+                    let (before, read) = (
+                        shared.endpoints.lock().list_position.to_string(),
+                        batch.position.to_string(),
+                    );
                     let (before, read) = (before.as_str(), read.as_str());
                     emit(&Event::StoreRestored {
                         dependency: Dependency::Membership,
@@ -267,7 +269,7 @@
         }
     }
     let update = ListUpdate { changes, complete: batch.complete, position: batch.position };
-    let missing = shared.known.apply_list(update, until);
+    let missing = shared.endpoints.apply_list(update, until);
     missing::watch(shared, missing);
     loader_task::start_new(shared);
 }
--- a/components/router/src/in_flight.rs
+++ b/components/router/src/in_flight.rs
@@ -145,7 +145,7 @@
                 SendOutcome::NotSent(cause) => {
                     self.set_spent(false);
                     self.log_step(Step::Broken, &id, &cause);
-                    self.shared.known.record_failure(&id, self.incarnation, &cause);
+                    self.shared.endpoints.record_failure(&id, self.incarnation, &cause);
                     if self.sends >= MAX_SENDS {
                         return Err(self.failure(Refusal::NoEndpoint, None));
                     }
@@ -282,7 +282,7 @@
     pub(crate) fn leave(&mut self, id: &EndpointId, cause: &str) {
         self.log_step(Step::Broken, id, cause);
         if self.call.model.is_none() {
-            self.shared.known.record_failure(id, self.incarnation, cause);
+            self.shared.endpoints.record_failure(id, self.incarnation, cause);
         }
         self.excluded.push(id.clone());
     }
@@ -298,7 +298,7 @@
         let status = response.head.status;
         match platform::classify_response(&self.call.id, status, &response.head.headers) {
             ResponseKind::Executed => {
-                self.shared.known.record_success(id, self.incarnation);
+                self.shared.endpoints.record_success(id, self.incarnation);
                 self.runs += 1;
                 let again = self.route.kind == catalog::CallKind::Safe
                     && status.is_server_error()
@@ -324,9 +324,9 @@
                 drop(response);
                 match &self.call.model {
                     Some(model) if !other => {
-                        self.shared.known.record_missing_model(id, self.incarnation, model)
+                        self.shared.endpoints.record_missing_model(id, self.incarnation, model)
                     }
-                    _ => self.shared.known.record_failure(
+                    _ => self.shared.endpoints.record_failure(
                         id,
                         self.incarnation,
                         "another endpoint has its address",
@@ -363,7 +363,7 @@
     pub(crate) fn interrupted(&mut self, id: &EndpointId, cause: &str) -> Result<(), Failure> {
         self.runs += 1;
         self.log_step(Step::Broken, id, cause);
-        self.shared.known.record_failure(id, self.incarnation, cause);
+        self.shared.endpoints.record_failure(id, self.incarnation, cause);
         if let Some(pool) = &self.pool {
             crash_check::start(&self.shared, id, self.incarnation, pool);
         }
--- a/components/router/src/loader_task.rs
+++ b/components/router/src/loader_task.rs
@@ -35,7 +35,7 @@
 
 /// Starts a task for each endpoint with models that has none.
 pub(crate) fn start_new(shared: &Arc<Shared>) {
-    let mut table = shared.known.lock();
+    let mut table = shared.endpoints.lock();
     for tracked in table.map.values_mut() {
         if tracked.loader_task.is_none() && tracked.endpoint.holdings.is_some() {
             let endpoint = &tracked.endpoint;
@@ -60,7 +60,7 @@
     let mut lost_since: Option<Instant> = None;
     loop {
         let (incarnation, uses, idle_wait) = {
-            let mut table = shared.known.lock();
+            let mut table = shared.endpoints.lock();
             let Some(uses) = table.take_uses(&id, Instant::now()) else { return };
             let loaders =
                 table.map.values().filter(|tracked| tracked.loader_task.is_some()).count();
@@ -92,7 +92,7 @@
                         shared.apply_endpoint_state(&id, *state);
                     }
                     PollResponse::Unchanged(load) => {
-                        if !shared.known.refresh_load(&id, load) {
+                        if !shared.endpoints.refresh_load(&id, load) {
                             // What the endpoint held has been discarded since: it may have restarted.
                             seen = 0;
                         }
@@ -150,7 +150,7 @@
 ) {
     let mut waiting;
     let (addr, rate) = {
-        let mut table = shared.known.lock();
+        let mut table = shared.endpoints.lock();
         waiting = table.waiting.get(&target.model).copied().unwrap_or(0);
         let Some(tracked) = table.map.get_mut(id) else { return };
         let loads = tracked.open_loads.entry(target.clone()).or_default();
@@ -165,7 +165,7 @@
         let addr = tracked.endpoint.addr;
         let now = Instant::now();
         let rate = table.request_rate(&target.model, now);
-        if request.cold {
+        if request.from_store {
             table.cold.add_request(id, &target.model, now);
         }
         (addr, rate)
@@ -173,7 +173,7 @@
     emit(&Event::LoadRequested {
         model: &target.to_string(),
         endpoint: id.as_str(),
-        expect_ms: millis(request.expect),
+        expect_ms: millis(request.expected_duration),
         cause: if request.urgent { "request" } else { "prepared" },
     });
     let ensure = EnsureRequest {
@@ -195,9 +195,9 @@
     /// How long the model is waited for.
     pub(crate) within: Duration,
     /// How long the load is expected to take.
-    pub(crate) expect: Duration,
+    pub(crate) expected_duration: Duration,
     /// Whether the model is loaded from the weight store.
-    pub(crate) cold: bool,
+    pub(crate) from_store: bool,
 }
 
 async fn send_load_request(shared: Arc<Shared>, addr: SocketAddr, ensure: EnsureRequest) {
@@ -221,7 +221,7 @@
     if let Ok(response) = response {
         shared.apply_endpoint_state(&id, response.state);
     }
-    let mut table = shared.known.lock();
+    let mut table = shared.endpoints.lock();
     table.cold.remove_request(&id, &target.model);
     if let Some(tracked) = table.map.get_mut(&id) {
         if let Some(loads) = tracked.open_loads.get_mut(&target) {
@@ -237,7 +237,7 @@
         }
     }
     drop(table);
-    shared.known.changed.notify_waiters();
+    shared.endpoints.changed.notify_waiters();
 }
 
 #[cfg(test)]
--- a/components/router/src/missing.rs
+++ b/components/router/src/missing.rs
@@ -30,10 +30,10 @@
 }
 
 async fn watch_endpoint(shared: Arc<Shared>, id: EndpointId) {
-    let Some(until) = shared.known.missing_until(&id) else { return };
+    let Some(until) = shared.endpoints.missing_until(&id) else { return };
     let mut pause = FIRST_PAUSE;
     // An entry that came back and is missing again has its own task.
-    while shared.known.missing_until(&id) == Some(until) {
+    while shared.endpoints.missing_until(&id) == Some(until) {
         let health = shared.check_health(&id, HEALTH_TIMEOUT).await;
         let next = match health {
             Some(Health::Healthy) => HEALTHY_INTERVAL,
@@ -43,17 +43,17 @@
                 pause / 2
             }
             Some(Health::Unhealthy) => {
-                return shared.known.remove_missing(&id, "it is draining or failing");
+                return shared.endpoints.remove_missing(&id, "it is draining or failing");
             }
             Some(Health::OtherInstance) => {
-                return shared.known.remove_missing(&id, "another endpoint is at its address");
+                return shared.endpoints.remove_missing(&id, "another endpoint is at its address");
             }
         };
-        shared.known.set_unhealthy(&id, health != Some(Health::Healthy));
+        shared.endpoints.set_unhealthy(&id, health != Some(Health::Healthy));
         let next = Instant::now() + next;
         tokio::time::sleep_until(next.min(until)).await;
         if next >= until {
-            shared.known.remove_missing(&id, "its entry did not come back");
+            shared.endpoints.remove_missing(&id, "its entry did not come back");
         }
     }
 }
--- a/components/router/src/prefetch.rs
+++ b/components/router/src/prefetch.rs
@@ -28,8 +28,8 @@
                 let wish = LoadRequest {
                     urgent: false,
                     within: duration * LOAD_TIMEOUT_FACTOR,
-                    expect: duration,
-                    cold: true,
+                    expected_duration: duration,
+                    from_store: true,
                 };
                 loader_task::request_load(&shared, &id, &ModelId { model, adapter: None }, wish);
             }
@@ -43,7 +43,7 @@
     engine: &Engine,
 ) -> Vec<(ModelName, EndpointId)> {
     let now = Instant::now();
-    let table = shared.known.lock();
+    let table = shared.endpoints.lock();
     let endpoints: Vec<_> =
         table.map.values().filter(|tracked| tracked.endpoint.service == *service).collect();
     let accepting = endpoints.iter().filter(|tracked| tracked.accepts_work());
--- a/components/router/src/probe.rs
+++ b/components/router/src/probe.rs
@@ -30,7 +30,7 @@
     let name = id.as_str();
     let mut pause = FIRST_PAUSE;
     loop {
-        let Some((addr, pool)) = shared.known.pool(&id) else { return };
+        let Some((addr, pool)) = shared.endpoints.pool(&id) else { return };
         let report = shared.fetch_report(&id, addr, PROBE_TIMEOUT).await;
         let first = pause == FIRST_PAUSE;
         if let Err(cause) = &report
@@ -45,7 +45,7 @@
         }
         pool.liveness().end_probe();
         if report.is_ok() {
-            shared.known.record_report(&id);
+            shared.endpoints.record_report(&id);
         }
         if !first {
             let after_ms = millis(since.elapsed());
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -14,7 +14,7 @@
 pub(crate) fn is_ready(shared: &Shared) -> bool {
     shared.shutdown.phase() == Phase::Run
         && shared.current().is_some_and(|catalog| can_serve(shared, &catalog))
-        && shared.known.lock().list_loaded
+        && shared.endpoints.lock().list_loaded
 }
 
 /// Whether there is a route whose requests can be authenticated.
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -237,7 +237,10 @@
                 }
                 let _ = writer.finish().await;
                 request_log.log_response(status, &timing, true);
-                request.shared.known.record_stream(timing.longest_gap > request.route.max_pause);
+                request
+                    .shared
+                    .endpoints
+                    .record_stream(timing.longest_gap > request.route.max_pause);
                 request.clear_suspicion();
                 return response.release_connection();
             }
--- a/components/router/src/reservation.rs
+++ b/components/router/src/reservation.rs
@@ -89,7 +89,7 @@
     /// Whether the endpoint still accepts requests, in the incarnation in which the reservation
     /// was made.
     pub(crate) fn is_open(&self) -> bool {
-        let table = self.shared.known.lock();
+        let table = self.shared.endpoints.lock();
         let tracked =
             table.map.get(&self.id).filter(|tracked| Arc::ptr_eq(&tracked.pool, &self.pool));
         tracked.is_some_and(|tracked| {
@@ -116,7 +116,7 @@
         }
         let same = |tracked: &TrackedEndpoint| Arc::ptr_eq(&tracked.pool, &self.pool);
         let hints = platform::read_endpoint_hints(status, headers);
-        self.shared.known.apply_hints(&self.id, self.incarnation, hints, same);
+        self.shared.endpoints.apply_hints(&self.id, self.incarnation, hints, same);
     }
 
     /// Records that the endpoint has begun to run the request.
@@ -128,14 +128,14 @@
             self.pool.sent_requests().answer_began(sent_id, now);
         }
         let shared = self.shared.clone();
-        let mut table = shared.known.lock();
+        let mut table = shared.endpoints.lock();
         self.remove_from_backlog(&mut table, now);
         if let Some(model) = &self.model {
             table.demand(&model.model).learn(self.expected, now - self.reserved_at);
         }
         drop(table);
         // Requests that were held back for this prompt may be sent now.
-        shared.known.changed.notify_waiters();
+        shared.endpoints.changed.notify_waiters();
     }
 
     /// Removes the prompt from the endpoint's backlog.
@@ -167,7 +167,7 @@
         }
         drop(sent_requests);
         let shared = self.shared.clone();
-        let mut table = shared.known.lock();
+        let mut table = shared.endpoints.lock();
         self.remove_from_backlog(&mut table, now);
         let Some(tracked) = self.tracked_endpoint(&mut table) else { return };
         tracked.running = tracked.running.saturating_sub(1);
@@ -191,14 +191,14 @@
 
 impl WaitingRequest {
     pub(crate) fn new(shared: &Arc<Shared>, target: &ModelId) -> Self {
-        *shared.known.lock().waiting.entry(target.model.clone()).or_default() += 1;
+        *shared.endpoints.lock().waiting.entry(target.model.clone()).or_default() += 1;
         Self { shared: shared.clone(), model: target.model.clone() }
     }
 }
 
 impl Drop for WaitingRequest {
     fn drop(&mut self) {
-        let mut table = self.shared.known.lock();
+        let mut table = self.shared.endpoints.lock();
         if let Some(count) = table.waiting.get_mut(&self.model) {
             *count -= 1;
             if *count == 0 {
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -83,7 +83,7 @@
     pub(crate) domain: Domain,
     pub(crate) pulse: Arc<Pulse>,
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
-    pub(crate) known: EndpointRegistry,
+    pub(crate) endpoints: EndpointRegistry,
     pub(crate) shutdown: Shutdown,
     /// Whether the router is ending and accepts no connections any more: requests that have no
     /// endpoint by then are refused.
@@ -117,7 +117,7 @@
             domain: settings.domain.clone(),
             pulse: process.pulse.clone(),
             catalog: watch::Sender::new(None),
-            known: EndpointRegistry::default(),
+            endpoints: EndpointRegistry::default(),
             shutdown: process.shutdown.clone(),
             closing: watch::Sender::new(false),
             start_state: watch::Sender::new(StartState::Reading),
@@ -160,7 +160,7 @@
     /// How far this router has read the store.
     pub(crate) fn position(&self) -> Position {
         let version = self.current().map_or(Revision(0), |current| current.version);
-        let table = self.known.lock();
+        let table = self.endpoints.lock();
         Position { version, read: table.list_position }
     }
 
@@ -177,7 +177,7 @@
 
     /// Updates the start state after a read of the store or an answer of another router.
     pub(crate) fn update_start_state(&self, reached: bool) {
-        let known = self.current().is_some() && self.known.lock().list_loaded;
+        let known = self.current().is_some() && self.endpoints.lock().list_loaded;
         self.start_state.send_if_modified(|start| {
             let next = match (*start, known, reached) {
                 (_, true, _) => StartState::Ready,
@@ -220,10 +220,10 @@
     pub(crate) fn apply_endpoint_state(&self, id: &EndpointId, state: EndpointState) {
         let catalog = self.current();
         let engine = catalog.as_ref().and_then(|catalog| {
-            let service = self.known.lock().map.get(id)?.endpoint.service.clone();
+            let service = self.endpoints.lock().map.get(id)?.endpoint.service.clone();
             catalog.service(&service)?.engine.as_ref()
         });
-        self.known.apply_state(id, state, engine);
+        self.endpoints.apply_state(id, state, engine);
     }
 
     /// Fetches the report of an endpoint, which shows that it responds.
@@ -238,14 +238,14 @@
         let same = |tracked: &TrackedEndpoint| {
             tracked.endpoint.addr == endpoint && tracked.same_incarnation(report.incarnation)
         };
-        self.known.apply_hints(id, report.incarnation, report.hints, same);
+        self.endpoints.apply_hints(id, report.incarnation, report.hints, same);
         Ok(())
     }
 
     /// Checks the health of an endpoint; `None` if the endpoint is unknown or can't be asked.
     pub(crate) async fn check_health(&self, id: &EndpointId, timeout: Duration) -> Option<Health> {
         let (endpoint, pool) = {
-            let table = self.known.lock();
+            let table = self.endpoints.lock();
             let tracked = table.map.get(id)?;
             (tracked.endpoint.clone(), tracked.pool.clone())
         };
@@ -254,7 +254,7 @@
         match platform::check_health(&self.client, endpoint.addr, path, id, timeout).await {
             Ok((health, hints)) => {
                 let same = |tracked: &TrackedEndpoint| Arc::ptr_eq(&tracked.pool, &pool);
-                self.known.apply_hints(id, endpoint.incarnation, hints, same);
+                self.endpoints.apply_hints(id, endpoint.incarnation, hints, same);
                 Some(health)
             }
             Err(error) => {
@@ -272,7 +272,7 @@
     /// Takes a retry of a request from the budget of its service; false if the budget is
     /// exhausted.
     pub(crate) fn try_retry(&self, service: &ServiceName, request_id: &str) -> bool {
-        let routers = self.known.lock().reported_routers();
+        let routers = self.endpoints.lock().reported_routers();
         let decision =
             self.with_retry_budget(service, |budget| budget.try_retry(routers, Instant::now()));
         let RetryDecision { allowed, spent, limit } = decision;
--- a/components/router/src/snapshot.rs
+++ b/components/router/src/snapshot.rs
@@ -34,7 +34,8 @@
 /// Answers another router's request for newer data.
 pub(crate) fn answer(shared: &Shared, uri: &Uri) -> Response<Body> {
     let have = Position::from_query(uri.query().unwrap_or(""));
-    let (Some(catalog), Some(newer)) = (shared.current(), shared.known.snapshot_since(have)) else {
+    let (Some(catalog), Some(newer)) = (shared.current(), shared.endpoints.snapshot_since(have))
+    else {
         return web::text(StatusCode::SERVICE_UNAVAILABLE, "nothing is known yet\n");
     };
     let confirmed = shared.access.confirmed_version(&catalog);
@@ -100,7 +101,7 @@
     {
         shared.access.record_peer_read(sent, confirmed.age);
     }
-    if let Some(to_check) = shared.known.apply_snapshot(snapshot) {
+    if let Some(to_check) = shared.endpoints.apply_snapshot(snapshot) {
         missing::watch(shared, to_check);
         loader_task::start_new(shared);
     }
