--- a/components/events/src/sink.rs
+++ b/components/events/src/sink.rs
@@ -19,7 +19,7 @@
 /// Lines are collected for this long before they are written, since each write is a system call.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 /// Whole lines are written together up to this size, which any pipe accepts in one piece. A reader that takes no more than
-/// this at a time lost the middle of longer writes, and with it the last lines of requests.
+/// this at a time lost the middle of longer writes, and with it the last lines of one request in nine.
 const WRITE_BYTES: usize = 4_096;
 /// The stack size of the writer thread, which only takes over the buffer and formats single `dropped` lines.
 const WRITER_STACK_BYTES: usize = 64 << 10;
