--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -3,16 +3,16 @@
 mod admin;
 mod args;
 mod metered;
-mod pulse;
 mod reload;
 mod settings;
 mod shutdown;
+mod stall;
 mod start;
 
 pub use admin::Status;
 pub use args::{Args, ArgsError, parse_args};
 pub use metered::serve_metrics;
-pub use pulse::Pulse;
+pub use stall::StallDetector;
 pub use settings::{Identity, SettingsError, load, parse};
 pub use shutdown::{Phase, Shutdown};
 pub use start::{
--- a/components/process/src/pulse.rs
+++ b/components/process/src/stall.rs
@@ -37,18 +37,18 @@
 
 /// Beats while the machine runs.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct StallDetector {
     last: Mutex<Beat>,
     until: Mutex<Option<Instant>>,
 }
 
-impl Default for Pulse {
+impl Default for StallDetector {
     fn default() -> Self {
         Self { last: Mutex::new(Beat::now()), until: Mutex::new(None) }
     }
 }
 
-impl Pulse {
+impl StallDetector {
     /// Beats for good.
     pub async fn run(&self) {
         loop {
@@ -58,7 +58,7 @@
     }
 
     /// Waits, if the machine stood still just now, until what arrived meanwhile has been read.
-    pub async fn settle(&self) {
+    pub async fn wait_after_stall(&self) {
         self.check();
         let until = *self.until.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(until) = until.filter(|until| *until > Instant::now()) {
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 
 use crate::admin::Admin;
-use crate::{Args, Identity, Phase, Pulse, Shutdown, Status, load, parse_args, reload};
+use crate::{Args, Identity, Phase, StallDetector, Shutdown, Status, load, parse_args, reload};
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
@@ -73,7 +73,7 @@
     /// Its settings, read again when the file changes; addresses take effect at a start only.
     pub settings: watch::Receiver<Arc<T>>,
     /// Notices that the machine stood still.
-    pub pulse: Arc<Pulse>,
+    pub stall_detector: Arc<StallDetector>,
     /// Its shutdown.
     pub shutdown: Shutdown,
 }
@@ -97,10 +97,10 @@
             events::emit(&Event::Started { program, version: env!("CARGO_PKG_VERSION") });
             let (sender, settings) = watch::channel(Arc::new(settings));
             tokio::spawn(reload::follow(file, sender));
-            let pulse = Arc::new(Pulse::default());
-            let beating = pulse.clone();
+            let stall_detector = Arc::new(StallDetector::default());
+            let beating = stall_detector.clone();
             tokio::spawn(async move { beating.run().await });
-            body(Single { settings, pulse, shutdown }).await
+            body(Single { settings, stall_detector, shutdown }).await
         });
         match ended {
             Ok(()) => ExitCode::SUCCESS,
--- a/components/router/src/in_flight.rs
+++ b/components/router/src/in_flight.rs
@@ -89,7 +89,7 @@
             let waited = wait_start.elapsed();
             // After this instance was paused, requests and closed connections arrive together: let
             // the runtime process the closed connections before anything is sent.
-            self.shared.pulse.settle().await;
+            self.shared.stall_detector.wait_after_stall().await;
             tokio::task::yield_now().await;
             if !reservation.is_open() || !self.is_permitted() {
                 // The endpoint has started to drain, or the request has become a crash suspect.
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -10,7 +10,7 @@
 use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
-use process::{Pulse, Shutdown, Single};
+use process::{StallDetector, Shutdown, Single};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 use units::{Domain, EndpointId, Revision, ServiceName, Span, StorePosition};
@@ -81,7 +81,7 @@
     pub(crate) settings: watch::Receiver<Arc<Settings>>,
     pub(crate) instance: String,
     pub(crate) domain: Domain,
-    pub(crate) pulse: Arc<Pulse>,
+    pub(crate) stall_detector: Arc<StallDetector>,
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
     pub(crate) known: EndpointRegistry,
     pub(crate) shutdown: Shutdown,
@@ -115,7 +115,7 @@
             settings: process.settings.clone(),
             instance: settings.instance.to_string(),
             domain: settings.domain.clone(),
-            pulse: process.pulse.clone(),
+            stall_detector: process.stall_detector.clone(),
             catalog: watch::Sender::new(None),
             known: EndpointRegistry::default(),
             shutdown: process.shutdown.clone(),
