--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -5,7 +5,7 @@
 use control::{EndpointLoad, EndpointState};
 use fleet::Holdings;
 use platform::Store;
-use process::{Phase, Single, StartError};
+use process::{Phase, SingleThreadProcess, StartError};
 use tokio::sync::{Notify, mpsc, watch};
 use units::{Era, Revision};
 use web::ServeOptions;
@@ -19,7 +19,7 @@
 const COMMAND_QUEUE_LENGTH: usize = 256;
 
 /// Runs a loader until the process is asked to shut down.
-pub async fn run(process: Single<Settings>) -> Result<(), StartError> {
+pub async fn run(process: SingleThreadProcess<Settings>) -> Result<(), StartError> {
     let settings = process.settings.borrow().clone();
     let listener = web::bind(settings.listen).await.map_err(StartError::new)?;
     if let Some(addr) = settings.metrics {
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -16,5 +16,5 @@
 pub use settings::{Identity, SettingsError, load, parse};
 pub use shutdown::{Phase, Shutdown};
 pub use start::{
-    EXIT_FAILURE, EXIT_USAGE, Process, Single, StartError, Workers, run, run_single, spawn_admin,
+    EXIT_FAILURE, EXIT_USAGE, Process, SingleThreadProcess, StartError, Workers, run, run_single_threaded, spawn_admin,
 };
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -69,7 +69,7 @@
 
 /// What a process of one thread shares with its tasks.
 #[derive(Debug, Clone)]
-pub struct Single<T> {
+pub struct SingleThreadProcess<T> {
     /// Its settings, read again when the file changes; addresses take effect at a start only.
     pub settings: watch::Receiver<Arc<T>>,
     /// Notices that the machine stood still.
@@ -79,10 +79,10 @@
 }
 
 /// Runs a program on one thread: small machines have one core and pay for memory.
-pub fn run_single<T, B, F>(about: &str, instance: fn(&T) -> &str, body: B) -> ExitCode
+pub fn run_single_threaded<T, B, F>(about: &str, instance: fn(&T) -> &str, body: B) -> ExitCode
 where
     T: DeserializeOwned + Send + Sync + 'static,
-    B: FnOnce(Single<T>) -> F,
+    B: FnOnce(SingleThreadProcess<T>) -> F,
     F: Future<Output = Result<(), StartError>>,
 {
     launch(about, |settings: T, file| {
@@ -100,7 +100,7 @@
             let stall_detector = Arc::new(StallDetector::default());
             let beating = stall_detector.clone();
             tokio::spawn(async move { beating.run().await });
-            body(Single { settings, stall_detector, shutdown }).await
+            body(SingleThreadProcess { settings, stall_detector, shutdown }).await
         });
         match ended {
             Ok(()) => ExitCode::SUCCESS,
--- a/components/router/src/run.rs
+++ b/components/router/src/run.rs
@@ -9,7 +9,7 @@
 use events::{Event, emit};
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
-use process::{Phase, Single, StartError};
+use process::{Phase, SingleThreadProcess, StartError};
 use tokio::net::TcpListener;
 use web::{Body, ServeOptions};
 
@@ -19,7 +19,7 @@
 };
 
 /// Runs the router until the process is asked to end and its requests are done.
-pub async fn run(process: Single<Settings>) -> Result<(), StartError> {
+pub async fn run(process: SingleThreadProcess<Settings>) -> Result<(), StartError> {
     let settings = process.settings.borrow().clone();
     let callers = TcpListener::bind(settings.callers).await.map_err(StartError::new)?;
     let readiness = web::bind(settings.ready).await.map_err(StartError::new)?;
--- a/programs/src/bin/hyssop-router.rs
+++ b/programs/src/bin/hyssop-router.rs
@@ -5,7 +5,7 @@
 const ABOUT: &str = "hyssop-router: serves callers from endpoints that it calls directly";
 
 fn main() -> ExitCode {
-    process::run_single(
+    process::run_single_threaded(
         ABOUT,
         |settings: &router::Settings| settings.instance.as_str(),
         router::run,
