--- a/components/agent/src/drain.rs
+++ b/components/agent/src/drain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use edge::{InstanceList, InstanceState};
-use process::Phase;
+use process::ShutdownPhase;
 use record::Body;
 
 use crate::EndpointKind;
@@ -74,7 +74,7 @@
     let leave = tokio::spawn(leave(agent.clone()));
     tokio::select! {
         () = finish(agent, limit) => {}
-        () = agent.shutdown.reached(Phase::Force) => {
+        () = agent.shutdown.reached(ShutdownPhase::Force) => {
             log::warn!("drain: cut short by a second signal");
         }
     }
@@ -122,7 +122,7 @@
     let limit = agent.desk().drain_limit();
     tokio::select! {
         _ = tokio::time::timeout(limit, until(|| agent.desk().running() == 0)) => {}
-        () = agent.shutdown.reached(Phase::Force) => {}
+        () = agent.shutdown.reached(ShutdownPhase::Force) => {}
     }
     give_up(agent).await;
 }
--- a/components/agent/src/run.rs
+++ b/components/agent/src/run.rs
@@ -7,7 +7,7 @@
 use edge::{Endpoint, HttpEndpoint, HttpList, HttpLog, InstanceList, LogService};
 use peer::Ask;
 use policy::Calendar;
-use process::{Phase, Process, Shutdown, StartError};
+use process::{ShutdownPhase, Process, Shutdown, StartError};
 use timeline::Recorder;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -111,7 +111,7 @@
 pub(crate) async fn lead(agent: Arc<Agent>, list: &dyn InstanceList) -> Result<(), StartError> {
     tokio::select! {
         attached = attach::attach(&agent) => { attached.map_err(StartError::new)?; }
-        () = agent.shutdown.reached(Phase::Drain) => return Ok(()),
+        () = agent.shutdown.reached(ShutdownPhase::Drain) => return Ok(()),
     }
     let mut tasks = JoinSet::new();
     tasks.spawn(sweep(agent.clone()));
@@ -137,7 +137,7 @@
     };
     let leaving = async {
         tokio::select! {
-            () = agent.shutdown.reached(Phase::Drain) => {}
+            () = agent.shutdown.reached(ShutdownPhase::Drain) => {}
             () = drain::listed_leaving(agent, list) => {}
         }
         drain::drain(agent).await;
--- a/components/agent/src/run/tests/draining.rs
+++ b/components/agent/src/run/tests/draining.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use edge::{Instance, InstanceState};
-use process::Phase;
+use process::ShutdownPhase;
 use wire::{Control, Refusal, Reply, UnknownCause};
 
 use super::world::{Answer, ENDPOINT, Running, World, id, until};
@@ -19,7 +19,7 @@
     until(|| running.running() == 2).await;
     let waits = running.dispatch(&running.head("r-3"));
     until(|| running.waiting() == 1).await;
-    running.phase.send_replace(Phase::Drain);
+    running.phase.send_replace(ShutdownPhase::Drain);
     assert_eq!(waits.await.expect("an answer").refusal(), Some(&Refusal::Leaving));
     let new = running.dispatch(&running.head("r-4")).await.expect("an answer");
     assert_eq!(new.refusal(), Some(&Refusal::Leaving));
@@ -81,9 +81,9 @@
     world.grant("page-text", "v1");
     let run = running.dispatch(&running.head("r-1"));
     until(|| running.running() == 1).await;
-    running.phase.send_replace(Phase::Drain);
+    running.phase.send_replace(ShutdownPhase::Drain);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    running.phase.send_replace(Phase::Force);
+    running.phase.send_replace(ShutdownPhase::Force);
     let answer = run.await.expect("an answer");
     let Answer::Served { end, .. } = &answer else { panic!("{answer:?}") };
     assert_eq!(end, &Some(wire::End::Failed(UnknownCause::AgentGone)));
@@ -96,7 +96,7 @@
     let served = running.dispatch(&running.head("r-1")).await.expect("an answer");
     assert!(served.whole().is_some());
     world.log.set(|faults| faults.outage = true);
-    running.phase.send_replace(Phase::Drain);
+    running.phase.send_replace(ShutdownPhase::Drain);
     running.task.await.expect("an agent that ends");
     assert!(world.engine.loaded().is_empty());
 }
--- a/components/agent/src/run/tests/http.rs
+++ b/components/agent/src/run/tests/http.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::client::conn::http2::{self, SendRequest};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use process::{Phase, Shutdown};
+use process::{ShutdownPhase, Shutdown};
 use timeline::{Recorder, Tick};
 use tokio::net::TcpStream;
 use tree::Class;
@@ -90,7 +90,7 @@
     assert_eq!(end, Some(End::Whole { length: text.len() as u64 + 3 }));
     assert_eq!(world.engine.truth().executions["r-1"], 1);
 
-    phase.send_replace(Phase::Drain);
+    phase.send_replace(ShutdownPhase::Drain);
     task.await.expect("a task that ends").expect("an agent that ends well");
     assert!(world.engine.loaded().is_empty());
 }
--- a/components/agent/src/run/tests/service.rs
+++ b/components/agent/src/run/tests/service.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use edge::{CacheEvents, Endpoint, EndpointError, Inventory, Order, Usage};
 use http::{Request, Response};
-use process::Phase;
+use process::ShutdownPhase;
 use rstest::rstest;
 use serde_json::json;
 use tree::NodeKind;
@@ -144,7 +144,7 @@
     let (_world, running) = start(&badges).await;
     let call = running.dispatch(&head(&running, "r-1"));
     until(|| running.running() == 1).await;
-    running.phase.send_replace(Phase::Drain);
+    running.phase.send_replace(ShutdownPhase::Drain);
     assert_eq!(call.await.expect("an answer").whole(), Some("granted"));
     running.task.await.expect("an agent that ends");
 }
--- a/components/agent/src/run/tests/session.rs
+++ b/components/agent/src/run/tests/session.rs
@@ -1,6 +1,6 @@
 //! A whole session as its time line.
 
-use process::Phase;
+use process::ShutdownPhase;
 use serde_json::json;
 use timeline::{Event, Kind};
 use units::Span;
@@ -67,7 +67,7 @@
     // Nobody comes, and then the instance leaves.
     world.edit(vec![set("/page-text", "keep-warm", json!("5s"))]);
     pause(6_000).await;
-    running.phase.send_replace(Phase::Drain);
+    running.phase.send_replace(ShutdownPhase::Drain);
     let refused = running.dispatch(&running.head("r-8")).await.expect("an answer");
     assert!(refused.refusal().is_some());
     until(|| running.task.is_finished()).await;
--- a/components/agent/src/run/tests/world.rs
+++ b/components/agent/src/run/tests/world.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use peer::{Ask, AskError};
 use policy::Calendar;
-use process::{Identity, Phase, Shutdown};
+use process::{Identity, ShutdownPhase, Shutdown};
 use record::{Attach, Body, Decision, GrantId, Record};
 pub(crate) use sample::{add, id, set};
 use serde_json::json;
@@ -112,7 +112,7 @@
 /// An agent that runs in the world.
 pub(crate) struct Running {
     pub(crate) agent: Arc<Agent>,
-    pub(crate) phase: watch::Sender<Phase>,
+    pub(crate) phase: watch::Sender<ShutdownPhase>,
     pub(crate) task: JoinHandle<()>,
     pub(crate) cut: Wire,
 }
@@ -391,7 +391,7 @@
     pub(crate) async fn die(&self) {
         self.task.abort();
         self.agent.desk().close(Closed::Leaving);
-        self.phase.send_replace(Phase::Force);
+        self.phase.send_replace(ShutdownPhase::Force);
         until(|| self.running() == 0).await;
     }
 
--- a/components/agent/src/serve.rs
+++ b/components/agent/src/serve.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use edge::{PRIORITY_HEADER, PrefixHash};
 use http::{Request, header};
-use process::Phase;
+use process::ShutdownPhase;
 use serde_json::value::RawValue;
 use timeline::Kind;
 use tokio::time::Instant;
@@ -212,7 +212,7 @@
     tokio::select! {
         () = tokio::time::sleep_until(last) => UnknownCause::Deadline,
         () = job.slot.stopped() => UnknownCause::Deadline,
-        () = agent.shutdown.reached(Phase::Force) => UnknownCause::AgentGone,
+        () = agent.shutdown.reached(ShutdownPhase::Force) => UnknownCause::AgentGone,
     }
 }
 
--- a/components/entry/src/core.rs
+++ b/components/entry/src/core.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use journal::{Journal, Keys};
-use process::{Phase, Shutdown};
+use process::{ShutdownPhase, Shutdown};
 use serde::Serialize;
 use timeline::{Kind, Recorder};
 use tokio::sync::mpsc;
@@ -136,7 +136,7 @@
                 answer::invalid(&id, &invalid)
             }
         };
-        if self.shutdown.phase() >= Phase::Drain {
+        if self.shutdown.phase() >= ShutdownPhase::Drain {
             answer::close(&mut response);
         }
         response
--- a/components/entry/src/flight.rs
+++ b/components/entry/src/flight.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use process::Phase;
+use process::ShutdownPhase;
 use record::KeyClaim;
 use timeline::Kind;
 use tokio::sync::mpsc;
@@ -89,7 +89,7 @@
             biased;
             outcome = self.drive() => outcome,
             () = caller.closed() => return self.hang_up().await,
-            () = shutdown.reached(Phase::Force) => {
+            () = shutdown.reached(ShutdownPhase::Force) => {
                 let until = self.call.deadline.min(Instant::now() + FORCE_LIMIT);
                 self.settle(Refusal::Shutdown, until).await
             }
--- a/components/entry/src/run.rs
+++ b/components/entry/src/run.rs
@@ -7,7 +7,7 @@
 use edge::{HttpList, HttpLog, LogService};
 use journal::Keys;
 use planner::DemandLog;
-use process::{Phase, Process, StartError};
+use process::{ShutdownPhase, Process, StartError};
 
 use crate::control::{Answerer, gather_demand};
 use crate::core::{Core, Parts};
@@ -51,7 +51,7 @@
         process.recorder.clone(),
         planner::Options {
             lease: settings.lease.0,
-            stop: Some(process.shutdown.flag(Phase::Drain)),
+            stop: Some(process.shutdown.flag(ShutdownPhase::Drain)),
             ..Default::default()
         },
     );
@@ -80,7 +80,7 @@
 ) -> Result<(), StartError> {
     tokio::select! {
         () = core.journal.ready() => {}
-        () = process.shutdown.reached(Phase::Drain) => return Ok(()),
+        () = process.shutdown.reached(ShutdownPhase::Drain) => return Ok(()),
     }
     let listener = web::bind(settings.listen).await.map_err(StartError::new)?;
     log::info!("entry: callers are served on {}", settings.listen);
@@ -100,7 +100,7 @@
 ) -> Result<(), StartError> {
     let answerer = Answerer { core };
     // Peers may ask until the process ends.
-    let stop = process.shutdown.flag(Phase::Force);
+    let stop = process.shutdown.flag(ShutdownPhase::Force);
     let handler = move |message| answerer.clone().answer(message);
     peer::serve(settings.control, stop, handler).await.map_err(StartError::new)
 }
--- a/components/entry/src/serve.rs
+++ b/components/entry/src/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use process::Phase;
+use process::ShutdownPhase;
 use tokio::sync::watch;
 
 use crate::core::Core;
@@ -20,13 +20,13 @@
         let handler = move |request, _peer| self.clone().answer(request);
         let serving = web::serve(listener, web::ServeOptions::default(), stop, handler);
         let stopping = async {
-            shutdown.reached(Phase::Drain).await;
+            shutdown.reached(ShutdownPhase::Drain).await;
             tokio::select! {
                 () = tokio::time::sleep(lag) => {}
-                () = shutdown.reached(Phase::Force) => {}
+                () = shutdown.reached(ShutdownPhase::Force) => {}
             }
             let _ = sender.send(true);
-            shutdown.reached(Phase::Force).await;
+            shutdown.reached(ShutdownPhase::Force).await;
             tokio::time::sleep(CLOSE_LIMIT).await;
         };
         tokio::select! {
--- a/components/entry/tests/sessions/drain.rs
+++ b/components/entry/tests/sessions/drain.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use process::Phase;
+use process::ShutdownPhase;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,7 +16,7 @@
     agent.script([Act::After(Duration::from_secs(5), "whole")]);
     let call = world.call_later(ask(&[]));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    world.phase.send(Phase::Drain).expect("the entry runs");
+    world.phase.send(ShutdownPhase::Drain).expect("the entry runs");
     let answer = call.await.expect("the call ends");
     assert_eq!((answer.outcome(), answer.text()), ("served", "whole"));
     assert_eq!(answer.header("connection"), "close");
@@ -26,7 +26,7 @@
 async fn can_still_serve_what_the_balancer_sends_during_a_drain() {
     let mut world = World::new().await;
     world.replica(0, "saddar").await;
-    world.phase.send(Phase::Drain).expect("the entry runs");
+    world.phase.send(ShutdownPhase::Drain).expect("the entry runs");
     let answer = world.call(ask(&[])).await;
     assert_eq!(answer.outcome(), "served");
     assert_eq!(answer.header("connection"), "close");
@@ -42,7 +42,7 @@
     let queued = world.call_later(ask(&[]));
     let running = world.call_later(service_call("POST", "/badges", &[]));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    world.phase.send(Phase::Force).expect("the entry runs");
+    world.phase.send(ShutdownPhase::Force).expect("the entry runs");
     let queued = queued.await.expect("the call ends");
     assert_eq!((queued.status.as_u16(), queued.error().as_str()), (503, "shutdown"));
     assert_eq!(queued.outcome(), "not-run");
@@ -80,7 +80,7 @@
     while agent.dispatches().is_empty() {
         tokio::task::yield_now().await;
     }
-    world.phase.send(Phase::Drain).expect("the entry runs");
+    world.phase.send(ShutdownPhase::Drain).expect("the entry runs");
     // The balancer may still send; whether this one comes before the lag is over is up to the machine.
     if let Ok(mut late) = TcpStream::connect(addr).await {
         let _ = late.write_all(CALL).await;
--- a/components/entry/tests/sessions/golden.rs
+++ b/components/entry/tests/sessions/golden.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use process::Phase;
+use process::ShutdownPhase;
 use units::Span;
 use wire::Refusal;
 
@@ -101,7 +101,7 @@
     let early = world.call_later(ask(&[]));
     tokio::time::sleep(Duration::from_secs(1)).await;
     world.leave("likhari-0", &first).await;
-    world.phase.send(Phase::Drain).expect("the entry runs");
+    world.phase.send(ShutdownPhase::Drain).expect("the entry runs");
     let late = world.call_later(ask(&[]));
     early.await.expect("the call ends");
     late.await.expect("the call ends");
--- a/components/entry/tests/sessions/kit/world.rs
+++ b/components/entry/tests/sessions/kit/world.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use journal::{Journal, Keys};
-use process::{Phase, Shutdown};
+use process::{ShutdownPhase, Shutdown};
 use record::{Attach, Body, Record};
 pub(crate) use sample::id;
 use sample::{add, set};
@@ -83,7 +83,7 @@
     pub(crate) journal: Journal,
     pub(crate) core: Arc<Core>,
     pub(crate) recorder: Recorder,
-    pub(crate) phase: watch::Sender<Phase>,
+    pub(crate) phase: watch::Sender<ShutdownPhase>,
     pub(crate) transcript: Transcript,
     name: String,
     next: u64,
--- a/components/loader/src/run.rs
+++ b/components/loader/src/run.rs
@@ -5,7 +5,7 @@
 use control::{EndpointLoad, EndpointState};
 use fleet::Holdings;
 use platform::Store;
-use process::{Phase, SingleThreadProcess, StartError};
+use process::{ShutdownPhase, SingleThreadProcess, StartError};
 use tokio::sync::{Notify, mpsc, watch};
 use units::{Era, Revision};
 use web::ServeOptions;
@@ -65,12 +65,12 @@
         Controller::new(instance, settings.endpoint, token, permit, command_receiver, state);
     let controller = tokio::spawn(controller.run());
     let api = RouterApi { commands, state: state_receiver, highest_era };
-    let stop = process.shutdown.flag(Phase::Drain);
+    let stop = process.shutdown.flag(ShutdownPhase::Drain);
     let handler = move |request, _| api.clone().handle(request);
     tokio::select! {
         () = web::serve(listener, ServeOptions::default(), stop, handler) => {}
         _ = controller => {}
-        () = process.shutdown.reached(Phase::Drain) => {}
+        () = process.shutdown.reached(ShutdownPhase::Drain) => {}
     }
     Ok(())
 }
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -14,7 +14,7 @@
 pub use metered::serve_metrics;
 pub use stall::StallDetector;
 pub use settings::{Identity, SettingsError, load, parse};
-pub use shutdown::{Phase, Shutdown};
+pub use shutdown::{ShutdownPhase, Shutdown};
 pub use start::{
     EXIT_FAILURE, EXIT_USAGE, Process, SingleThreadProcess, StartError, Workers, run, run_single_threaded, spawn_admin,
 };
--- a/components/process/src/shutdown.rs
+++ b/components/process/src/shutdown.rs
@@ -5,7 +5,7 @@
 
 /// How far a shutdown has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// Running.
     Run,
     /// The first signal: take no new work, finish what is in flight.
@@ -17,13 +17,13 @@
 /// Tells the tasks of a process how far its shutdown has come; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shutdown {
-    phase: watch::Receiver<Phase>,
+    phase: watch::Receiver<ShutdownPhase>,
 }
 
 impl Shutdown {
     /// A shutdown driven by a sender, for tests and for roles within a process.
-    pub fn manual() -> (watch::Sender<Phase>, Self) {
-        let (sender, phase) = watch::channel(Phase::Run);
+    pub fn manual() -> (watch::Sender<ShutdownPhase>, Self) {
+        let (sender, phase) = watch::channel(ShutdownPhase::Run);
         (sender, Self { phase })
     }
 
@@ -33,7 +33,7 @@
         let mut int = signal(SignalKind::interrupt())?;
         let (sender, shutdown) = Self::manual();
         tokio::spawn(async move {
-            for phase in [Phase::Drain, Phase::Force] {
+            for phase in [ShutdownPhase::Drain, ShutdownPhase::Force] {
                 tokio::select! {
                     _ = term.recv() => {}
                     _ = int.recv() => {}
@@ -48,18 +48,18 @@
     }
 
     /// The phase now.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
 
     /// Waits until the shutdown has come this far; a dropped sender counts as `Force`.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn reached(&self, phase: ShutdownPhase) {
         let mut seen = self.phase.clone();
         let _ = seen.wait_for(|now| *now >= phase).await;
     }
 
     /// A signal for servers: true once the shutdown has come this far.
-    pub fn flag(&self, phase: Phase) -> watch::Receiver<bool> {
+    pub fn flag(&self, phase: ShutdownPhase) -> watch::Receiver<bool> {
         let (sender, flag) = watch::channel(false);
         let shutdown = self.clone();
         tokio::spawn(async move {
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 
 use crate::admin::Admin;
-use crate::{Args, Identity, Phase, StallDetector, Shutdown, Status, load, parse_args, reload};
+use crate::{Args, Identity, ShutdownPhase, StallDetector, Shutdown, Status, load, parse_args, reload};
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
@@ -186,7 +186,7 @@
         let stopping = (recorder.clone(), shutdown.clone());
         tokio::spawn(async move {
             let (recorder, shutdown) = stopping;
-            shutdown.reached(Phase::Drain).await;
+            shutdown.reached(ShutdownPhase::Drain).await;
             log::info!("process: stopping after the work in flight");
             recorder.record(recorder.event(Kind::Stopping));
         });
--- a/components/router/src/ready.rs
+++ b/components/router/src/ready.rs
@@ -4,7 +4,7 @@
 
 use catalog::Catalog;
 use http::{Response, StatusCode};
-use process::Phase;
+use process::ShutdownPhase;
 use web::Body;
 
 use crate::shared::Shared;
@@ -12,7 +12,7 @@
 /// Whether this router accepts callers: it has a configuration and a list of endpoints, can serve
 /// at least one route, and is not ending.
 pub(crate) fn is_ready(shared: &Shared) -> bool {
-    shared.shutdown.phase() == Phase::Run
+    shared.shutdown.phase() == ShutdownPhase::Run
         && shared.current().is_some_and(|catalog| can_serve(shared, &catalog))
         && shared.known.lock().list_loaded
 }
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
 use platform::RequestHeaders;
-use process::Phase;
+use process::ShutdownPhase;
 use quarantine::Digest;
 use tokio::time::Instant;
 use web::{Body, ReadError};
@@ -84,7 +84,7 @@
         Ok(response) => response,
         Err(failure) => refusal_response(&guard.request_log, id.as_ref(), failure),
     };
-    if shared.shutdown.phase() != Phase::Run {
+    if shared.shutdown.phase() != ShutdownPhase::Run {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     guard.has_response = true;
--- a/components/router/src/run.rs
+++ b/components/router/src/run.rs
@@ -9,7 +9,7 @@
 use events::{Event, emit};
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
-use process::{Phase, SingleThreadProcess, StartError};
+use process::{ShutdownPhase, SingleThreadProcess, StartError};
 use tokio::net::TcpListener;
 use web::{Body, ServeOptions};
 
@@ -43,7 +43,7 @@
         let answer = ready::answer(&ready_shared, request.uri().path());
         async move { answer }
     };
-    let force = process.shutdown.flag(Phase::Force);
+    let force = process.shutdown.flag(ShutdownPhase::Force);
     tokio::spawn(web::serve(readiness, ServeOptions::default(), force.clone(), handler));
     let control_shared = shared.clone();
     let handler = move |request: http::Request<hyper::body::Incoming>, _| {
@@ -53,7 +53,7 @@
     tokio::spawn(web::serve(control, ServeOptions::default(), force, handler));
     let stopping = shared.clone();
     tokio::spawn(async move {
-        stopping.shutdown.reached(Phase::Drain).await;
+        stopping.shutdown.reached(ShutdownPhase::Drain).await;
         emit(&Event::Stopping { requests: stopping.in_flight.load(Ordering::Relaxed) });
     });
     serve::run(shared.clone(), callers).await;
--- a/components/router/src/serve.rs
+++ b/components/router/src/serve.rs
@@ -7,7 +7,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use process::Phase;
+use process::ShutdownPhase;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -33,7 +33,7 @@
 pub(crate) async fn run(shared: Arc<Shared>, listener: TcpListener) {
     let (stop, stopped) = watch::channel(false);
     let mut connections = JoinSet::new();
-    let drain = shared.shutdown.reached(Phase::Drain);
+    let drain = shared.shutdown.reached(ShutdownPhase::Drain);
     tokio::pin!(drain);
     let mut accept_deadline: Option<Instant> = None;
     loop {
--- a/components/standin/src/run.rs
+++ b/components/standin/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use process::{Phase, Process, StartError};
+use process::{ShutdownPhase, Process, StartError};
 use serde_json::json;
 
 use crate::{Engine, List, Log, Role, Running, Service, Settings, Store};
@@ -21,7 +21,7 @@
     let status = json!({ "address": running.addr });
     let admin = process::spawn_admin(&process, Arc::new(move || status.clone())).await?;
     log::info!("standin: serving on {}", running.addr);
-    process.shutdown.reached(Phase::Drain).await;
+    process.shutdown.reached(ShutdownPhase::Drain).await;
     running.stop().await;
     admin.abort();
     Ok(())
