--- a/components/agent/src/status.rs
+++ b/components/agent/src/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use process::Status;
+use process::StatusProvider;
 use serde::Serialize;
 use state::{State, Summary};
 use units::{AdapterName, Incarnation, ModelName, Offset, Revision, Size};
@@ -47,7 +47,7 @@
 }
 
 /// Makes the status on demand.
-pub(crate) fn of(agent: &Arc<Agent>) -> Status {
+pub(crate) fn of(agent: &Arc<Agent>) -> StatusProvider {
     let agent = agent.clone();
     Arc::new(move || serde_json::to_value(status(&agent)).unwrap_or_default())
 }
--- a/components/load/src/experiment/tests.rs
+++ b/components/load/src/experiment/tests.rs
@@ -11,7 +11,7 @@
     let files = folder.map(|entry| entry.expect("an entry").path());
     files
         .map(|file| {
-            let experiment = process::load(&file).unwrap_or_else(|error| panic!("{error}"));
+            let experiment = process::load_settings(&file).unwrap_or_else(|error| panic!("{error}"));
             (file, experiment)
         })
         .collect()
@@ -37,6 +37,6 @@
 #[test]
 fn errors_on_an_unknown_key() {
     let text = r#"{ "deployment": "press", "speed": 3 }"#;
-    let read: Result<Experiment, _> = process::parse(Path::new("test.jsonc"), text);
+    let read: Result<Experiment, _> = process::parse_settings(Path::new("test.jsonc"), text);
     assert!(read.expect_err("an unknown key").to_string().contains("speed"));
 }
--- a/components/load/src/run.rs
+++ b/components/load/src/run.rs
@@ -97,7 +97,7 @@
 
 /// Carries an experiment file out, writes the result, and says whether all promises held.
 pub(crate) async fn run(job: Job) -> Result<bool, RunError> {
-    let experiment: Experiment = process::load(&job.file)?;
+    let experiment: Experiment = process::load_settings(&job.file)?;
     let name = job.file.file_stem().map_or("experiment".into(), |stem| stem.to_string_lossy());
     let logs = job.out.join(format!("{name}-logs"));
     let found = carry_out(&experiment, &name, &job.bin, &logs).await?;
--- a/components/load/src/trace/tests.rs
+++ b/components/load/src/trace/tests.rs
@@ -22,7 +22,7 @@
           }}]
         }}"#
     );
-    process::parse(Path::new("test.jsonc"), &text).expect("a right experiment")
+    process::parse_settings(Path::new("test.jsonc"), &text).expect("a right experiment")
 }
 
 const STEADY: &str = r#"{ "steady": { "rate": "10/s" } }"#;
--- a/components/process/src/admin.rs
+++ b/components/process/src/admin.rs
@@ -10,13 +10,13 @@
 use web::Body;
 
 /// Makes the JSON of `/status` on demand.
-pub type Status = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
+pub type StatusProvider = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
 
 #[derive(Clone)]
 pub(crate) struct Admin {
     pub(crate) metrics: PrometheusHandle,
     pub(crate) recorder: Recorder,
-    pub(crate) status: Status,
+    pub(crate) status: StatusProvider,
 }
 
 impl Admin {
--- a/components/process/src/reload.rs
+++ b/components/process/src/reload.rs
@@ -9,7 +9,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::load;
+use crate::load_settings;
 
 /// How often the file is looked at: it may change without a signal.
 const PACE: Duration = Duration::from_secs(5);
@@ -36,7 +36,7 @@
 }
 
 fn read<T: DeserializeOwned>(file: &Path, settings: &watch::Sender<Arc<T>>) {
-    match load(file) {
+    match load_settings(file) {
         Ok(fresh) => {
             settings.send_replace(Arc::new(fresh));
             emit(&Event::Reloaded { outcome: "taken" });
--- a/components/process/src/settings.rs
+++ b/components/process/src/settings.rs
@@ -85,14 +85,14 @@
 }
 
 /// Reads a settings file.
-pub fn load<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
+pub fn load_settings<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file)
         .map_err(|cause| SettingsError::Unreadable { file: file.to_owned(), cause })?;
-    parse(file, &text)
+    parse_settings(file, &text)
 }
 
 /// Reads the text of a settings file; `file` only appears in errors.
-pub fn parse<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
+pub fn parse_settings<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
     let file = file.to_owned();
     let value: serde_json::Value = match jsonc_parser::parse_to_serde_value(text, &DIALECT) {
         Ok(value) => value,
--- a/components/process/src/settings/tests.rs
+++ b/components/process/src/settings/tests.rs
@@ -1,9 +1,9 @@
 use std::path::Path;
 
-use super::{Identity, SettingsError, parse};
+use super::{Identity, SettingsError, parse_settings};
 
 fn read(text: &str) -> Result<Identity, SettingsError> {
-    parse(Path::new("entry.jsonc"), text)
+    parse_settings(Path::new("entry.jsonc"), text)
 }
 
 #[test]
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 
 use crate::admin::Admin;
-use crate::{Args, Identity, ShutdownPhase, StallDetector, Shutdown, Status, load, parse_args, reload};
+use crate::{Args, Identity, ShutdownPhase, StallDetector, Shutdown, StatusProvider, load_settings, parse_args, reload};
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
@@ -141,7 +141,7 @@
         Ok(Args::Run(file)) => file,
         Err(error) => return usage(&error),
     };
-    let settings: T = match load(&file) {
+    let settings: T = match load_settings(&file) {
         Ok(settings) => settings,
         Err(error) => return usage(&error),
     };
@@ -195,7 +195,7 @@
 }
 
 /// Binds and starts the admin server, which lives until the runtime ends, so that a drain can be watched.
-pub async fn spawn_admin(process: &Process, status: Status) -> Result<JoinHandle<()>, StartError> {
+pub async fn spawn_admin(process: &Process, status: StatusProvider) -> Result<JoinHandle<()>, StartError> {
     let listener = web::bind(process.identity.admin).await.map_err(StartError::new)?;
     let admin =
         Admin { metrics: process.metrics.clone(), recorder: process.recorder.clone(), status };
@@ -208,7 +208,7 @@
 }
 
 fn check<T: DeserializeOwned>(file: &Path) -> ExitCode {
-    match load::<T>(file) {
+    match load_settings::<T>(file) {
         Ok(_) => {
             println!("{}: settings are right", file.display());
             ExitCode::SUCCESS
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -199,7 +199,7 @@
             Short('V') | Long("version") => words.flags.version = true,
             Long("settings") => {
                 let file = PathBuf::from(parser.value()?);
-                words.link = Some(process::load(&file)?);
+                words.link = Some(process::load_settings(&file)?);
             }
             Long("log") => words.flags.log = Some(parser.value()?.parse()?),
             Long("seed") => words.flags.seeds.push(parser.value()?.parse()?),
