--- a/components/agent/src/run.rs
+++ b/components/agent/src/run.rs
@@ -7,7 +7,7 @@
 use edge::{Endpoint, HttpEndpoint, HttpList, HttpLog, InstanceList, LogService};
 use peer::Ask;
 use policy::Calendar;
-use process::{ShutdownPhase, Process, Shutdown, StartError};
+use process::{Process, Shutdown, ShutdownPhase, StartError};
 use timeline::Recorder;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
--- a/components/agent/src/run/tests/http.rs
+++ b/components/agent/src/run/tests/http.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::client::conn::http2::{self, SendRequest};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use process::{ShutdownPhase, Shutdown};
+use process::{Shutdown, ShutdownPhase};
 use timeline::{Recorder, Tick};
 use tokio::net::TcpStream;
 use tree::Class;
--- a/components/agent/src/run/tests/world.rs
+++ b/components/agent/src/run/tests/world.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use peer::{Ask, AskError};
 use policy::Calendar;
-use process::{Identity, ShutdownPhase, Shutdown};
+use process::{Identity, Shutdown, ShutdownPhase};
 use record::{Attach, Body, Decision, GrantId, Record};
 pub(crate) use sample::{add, id, set};
 use serde_json::json;
--- a/components/entry/src/core.rs
+++ b/components/entry/src/core.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use journal::{Journal, Keys};
-use process::{ShutdownPhase, Shutdown};
+use process::{Shutdown, ShutdownPhase};
 use serde::Serialize;
 use timeline::{Kind, Recorder};
 use tokio::sync::mpsc;
--- a/components/entry/src/run.rs
+++ b/components/entry/src/run.rs
@@ -7,7 +7,7 @@
 use edge::{HttpList, HttpLog, LogService};
 use journal::Keys;
 use planner::DemandLog;
-use process::{ShutdownPhase, Process, StartError};
+use process::{Process, ShutdownPhase, StartError};
 
 use crate::control::{Answerer, gather_demand};
 use crate::core::{Core, Parts};
--- a/components/entry/tests/sessions/kit/world.rs
+++ b/components/entry/tests/sessions/kit/world.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use journal::{Journal, Keys};
-use process::{ShutdownPhase, Shutdown};
+use process::{Shutdown, ShutdownPhase};
 use record::{Attach, Body, Record};
 pub(crate) use sample::id;
 use sample::{add, set};
--- a/components/load/src/experiment/tests.rs
+++ b/components/load/src/experiment/tests.rs
@@ -11,7 +11,8 @@
     let files = folder.map(|entry| entry.expect("an entry").path());
     files
         .map(|file| {
-            let experiment = process::load_settings(&file).unwrap_or_else(|error| panic!("{error}"));
+            let experiment =
+                process::load_settings(&file).unwrap_or_else(|error| panic!("{error}"));
             (file, experiment)
         })
         .collect()
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -12,9 +12,10 @@
 pub use admin::StatusProvider;
 pub use args::{Args, ArgsError, parse_args};
 pub use metered::serve_metrics;
-pub use stall::StallDetector;
 pub use settings::{Identity, SettingsError, load_settings, parse_settings};
-pub use shutdown::{ShutdownPhase, Shutdown};
+pub use shutdown::{Shutdown, ShutdownPhase};
+pub use stall::StallDetector;
 pub use start::{
-    EXIT_FAILURE, EXIT_USAGE, Process, SingleThreadProcess, StartError, Workers, run, run_single_threaded, spawn_admin,
+    EXIT_FAILURE, EXIT_USAGE, Process, SingleThreadProcess, StartError, Workers, run,
+    run_single_threaded, spawn_admin,
 };
--- a/components/process/src/shutdown/tests.rs
+++ b/components/process/src/shutdown/tests.rs
@@ -1,4 +1,4 @@
-use super::{ShutdownPhase, Shutdown};
+use super::{Shutdown, ShutdownPhase};
 
 #[tokio::test]
 async fn can_wait_for_the_second_signal_alone() {
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -17,7 +17,10 @@
 use tokio::task::JoinHandle;
 
 use crate::admin::Admin;
-use crate::{Args, Identity, ShutdownPhase, StallDetector, Shutdown, StatusProvider, load_settings, parse_args, reload};
+use crate::{
+    Args, Identity, Shutdown, ShutdownPhase, StallDetector, StatusProvider, load_settings,
+    parse_args, reload,
+};
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
@@ -195,7 +198,10 @@
 }
 
 /// Binds and starts the admin server, which lives until the runtime ends, so that a drain can be watched.
-pub async fn spawn_admin(process: &Process, status: StatusProvider) -> Result<JoinHandle<()>, StartError> {
+pub async fn spawn_admin(
+    process: &Process,
+    status: StatusProvider,
+) -> Result<JoinHandle<()>, StartError> {
     let listener = web::bind(process.identity.admin).await.map_err(StartError::new)?;
     let admin =
         Admin { metrics: process.metrics.clone(), recorder: process.recorder.clone(), status };
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -10,7 +10,7 @@
 use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
-use process::{StallDetector, Shutdown, SingleThreadProcess};
+use process::{Shutdown, SingleThreadProcess, StallDetector};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 use units::{Domain, EndpointId, Revision, ServiceName, Span, StorePosition};
@@ -108,7 +108,9 @@
 impl Shared {
     /// Creates the shared state, and the queue of records that the crash guard wants written to
     /// the store.
-    pub(crate) fn new(process: &SingleThreadProcess<Settings>) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
+    pub(crate) fn new(
+        process: &SingleThreadProcess<Settings>,
+    ) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let settings = process.settings.borrow().clone();
         let (guard, records) = CrashGuard::new(settings.instance.to_string());
         let shared = Self {
--- a/components/standin/src/run.rs
+++ b/components/standin/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use process::{ShutdownPhase, Process, StartError};
+use process::{Process, ShutdownPhase, StartError};
 use serde_json::json;
 
 use crate::{Engine, List, Log, Role, Running, Service, Settings, Store};
