--- a/components/edge/src/streaming.rs
+++ b/components/edge/src/streaming.rs
@@ -90,7 +90,7 @@
     watched
 }
 
-async fn relay(addr: SocketAddr, mut body: Incoming, writer: web::Writer, idle: Duration) {
+async fn relay(addr: SocketAddr, mut body: Incoming, writer: web::BodyWriter, idle: Duration) {
     loop {
         let data = match timeout(idle, body.frame()).await {
             Ok(None) => {
@@ -98,10 +98,10 @@
                 return;
             }
             Ok(Some(Ok(frame))) => frame.into_data(),
-            Ok(Some(Err(error))) => return writer.cut(std::io::Error::other(error)).await,
+            Ok(Some(Err(error))) => return writer.abort(std::io::Error::other(error)).await,
             Err(_) => {
                 let silent = StreamError::Silent { addr, idle };
-                return writer.cut(std::io::Error::other(silent)).await;
+                return writer.abort(std::io::Error::other(silent)).await;
             }
         };
         if let Ok(data) = data
--- a/components/router/src/relay.rs
+++ b/components/router/src/relay.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 use units::EndpointId;
-use web::{Body, Writer};
+use web::{Body, BodyWriter};
 
 use crate::exchange::EndpointResponse;
 use crate::in_flight::{Failure, InFlightRequest};
@@ -164,7 +164,7 @@
 /// one.
 async fn read_stream(
     response: &mut EndpointResponse,
-    writer: &Writer,
+    writer: &BodyWriter,
     time_limit: Option<Duration>,
     deadline: Instant,
 ) -> StreamRead {
@@ -201,7 +201,7 @@
 async fn forward_stream(
     mut request: InFlightRequest,
     mut response: EndpointResponse,
-    writer: Writer,
+    writer: BodyWriter,
     request_log: RequestLog,
 ) {
     let status = response.head.status.as_u16();
@@ -265,7 +265,7 @@
         }
     };
     request_log.log_response(status, &timing, false);
-    writer.cut(std::io::Error::other(cause)).await;
+    writer.abort(std::io::Error::other(cause)).await;
 }
 
 /// Resumes an interrupted stream at another endpoint, if that is allowed.
--- a/components/standin/src/engine/run.rs
+++ b/components/standin/src/engine/run.rs
@@ -189,7 +189,7 @@
         run: Arc<Run>,
         from: usize,
         cut: Option<usize>,
-        writer: web::Writer,
+        writer: web::BodyWriter,
     ) {
         let mut progress = run.watch();
         let mut at = from;
@@ -204,7 +204,7 @@
                 at = upto;
             }
             if cut == Some(at) {
-                return writer.cut(Error::other("the stream is dropped on purpose")).await;
+                return writer.abort(Error::other("the stream is dropped on purpose")).await;
             }
             match now.end {
                 Some(End::Whole) => {
@@ -212,12 +212,12 @@
                     return;
                 }
                 Some(End::Cut) => {
-                    return writer.cut(Error::other("the request was cut")).await;
+                    return writer.abort(Error::other("the request was cut")).await;
                 }
                 None => {}
             }
             if progress.changed().await.is_err() {
-                return writer.cut(Error::other("the request is gone")).await;
+                return writer.abort(Error::other("the request is gone")).await;
             }
         }
     }
--- a/components/web/src/channel.rs
+++ b/components/web/src/channel.rs
@@ -20,9 +20,9 @@
 #[error("the reader of the body is gone")]
 pub struct Closed;
 
-/// Writes a body; one that is dropped without [`Writer::finish`] cuts it, so that a part never looks whole.
+/// Writes a body; one that is dropped without [`BodyWriter::finish`] cuts it, so that a part never looks whole.
 #[derive(Debug)]
-pub struct Writer(mpsc::Sender<Piece>);
+pub struct BodyWriter(mpsc::Sender<Piece>);
 
 #[derive(Debug)]
 enum Piece {
@@ -34,12 +34,12 @@
 struct Reader(mpsc::Receiver<Piece>);
 
 /// A body and the writer of it.
-pub fn channel() -> (Writer, Body) {
+pub fn channel() -> (BodyWriter, Body) {
     let (sender, receiver) = mpsc::channel(PIECES);
-    (Writer(sender), Reader(receiver).boxed_unsync())
+    (BodyWriter(sender), Reader(receiver).boxed_unsync())
 }
 
-impl Writer {
+impl BodyWriter {
     /// Writes a piece; waits while the reader lags.
     pub async fn send(&self, data: Bytes) -> Result<(), Closed> {
         self.0.send(Piece::Data(data)).await.map_err(|_| Closed)
@@ -56,7 +56,7 @@
     }
 
     /// Cuts the body with an error that the reader sees.
-    pub async fn cut(self, error: io::Error) {
+    pub async fn abort(self, error: io::Error) {
         let _ = self.0.send(Piece::Cut(error)).await;
     }
 }
--- a/components/web/tests/server.rs
+++ b/components/web/tests/server.rs
@@ -126,7 +126,7 @@
     drop(writer);
     assert!(matches!(web::read(body, 100).await, Err(web::ReadError::Cut(_))));
     let (writer, body) = web::channel();
-    writer.cut(std::io::Error::other("a fault")).await;
+    writer.abort(std::io::Error::other("a fault")).await;
     assert!(matches!(web::read(body, 100).await, Err(web::ReadError::Cut(_))));
 }
 
