--- a/components/entry/src/core.rs
+++ b/components/entry/src/core.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use tree::NodeKind;
 use units::{Domain, InstanceId, RequestId, Size, Span};
-use web::{Body, ReadError};
+use web::{Body, BodyError};
 use wire::{Outcome, Refusal};
 
 use crate::answer;
@@ -161,8 +161,8 @@
         let read = web::read(body, self.body_limit);
         let read = tokio::time::timeout(limit, read).await.map_err(|_| past())?;
         let body = read.map_err(|error| match error {
-            ReadError::Large { limit } => Invalid::Large { limit },
-            ReadError::Cut(cause) => Invalid::Cut(cause),
+            BodyError::TooLarge { limit } => Invalid::Large { limit },
+            BodyError::Truncated(cause) => Invalid::Cut(cause),
         })?;
         let call =
             self.journal.read(|state| head.resolve(id.clone(), arrived, body, state.tree()))?;
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -14,7 +14,7 @@
 use process::ShutdownPhase;
 use quarantine::Digest;
 use tokio::time::Instant;
-use web::{Body, ReadError};
+use web::{Body, BodyError};
 
 use crate::access::{self, Identity};
 use crate::caller::CallerConnection;
@@ -148,10 +148,10 @@
     };
     let body = match read {
         Ok(body) => body,
-        Err(ReadError::Large { .. }) => {
+        Err(BodyError::TooLarge { .. }) => {
             return Err(failure(StatusCode::PAYLOAD_TOO_LARGE, Refusal::Malformed, None));
         }
-        Err(ReadError::Cut(_)) => return Err(malformed()),
+        Err(BodyError::Truncated(_)) => return Err(malformed()),
     };
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let caller_id = match identity.workspace() {
--- a/components/web/src/body.rs
+++ b/components/web/src/body.rs
@@ -12,16 +12,16 @@
 
 /// Why a body could not be read whole.
 #[derive(Debug, Error)]
-pub enum ReadError {
+pub enum BodyError {
     /// It is larger than allowed.
     #[error("the body is over {limit} bytes; send less")]
-    Large {
+    TooLarge {
         /// The most bytes allowed.
         limit: usize,
     },
     /// The connection ended within it.
     #[error("the body ended early: {0}")]
-    Cut(String),
+    Truncated(String),
 }
 
 /// A body of no bytes.
@@ -57,7 +57,7 @@
 }
 
 /// Reads a body whole, up to a limit in bytes.
-pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, ReadError>
+pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: http_body_util::BodyExt<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -65,8 +65,8 @@
     match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(ReadError::Large { limit })
+            Err(BodyError::TooLarge { limit })
         }
-        Err(error) => Err(ReadError::Cut(error.to_string())),
+        Err(error) => Err(BodyError::Truncated(error.to_string())),
     }
 }
--- a/components/web/tests/server.rs
+++ b/components/web/tests/server.rs
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn errors_on_a_body_over_the_limit() {
     let error = web::read(web::full("12345"), 4).await.expect_err("it is too large");
-    assert!(matches!(error, web::ReadError::Large { limit: 4 }), "{error}");
+    assert!(matches!(error, web::BodyError::TooLarge { limit: 4 }), "{error}");
     assert_eq!(web::read(web::full("1234"), 4).await.expect("it fits").as_ref(), b"1234");
 }
 
@@ -124,10 +124,10 @@
     let (writer, body) = web::channel();
     writer.send("half".into()).await.expect("room");
     drop(writer);
-    assert!(matches!(web::read(body, 100).await, Err(web::ReadError::Cut(_))));
+    assert!(matches!(web::read(body, 100).await, Err(web::BodyError::Truncated(_))));
     let (writer, body) = web::channel();
     writer.abort(std::io::Error::other("a fault")).await;
-    assert!(matches!(web::read(body, 100).await, Err(web::ReadError::Cut(_))));
+    assert!(matches!(web::read(body, 100).await, Err(web::BodyError::Truncated(_))));
 }
 
 #[tokio::test]
