--- a/components/web/src/client.rs
+++ b/components/web/src/client.rs
@@ -41,7 +41,7 @@
     },
     /// The connection failed after the call was sent; the call may have taken effect.
     #[error("the connection to {addr} failed: {cause}")]
-    Broken {
+    Interrupted {
         /// The address called.
         addr: SocketAddr,
         /// What the transport said.
@@ -59,7 +59,7 @@
     },
     /// The answer is not what was expected.
     #[error("{addr} answered something unexpected: {cause}")]
-    Answer {
+    InvalidResponse {
         /// The address called.
         addr: SocketAddr,
         /// What is wrong with it.
@@ -112,7 +112,7 @@
             let (head, body) = response.into_parts();
             let read = body::read(body, ANSWER_LIMIT).await;
             let bytes =
-                read.map_err(|error| CallError::Broken { addr, cause: error.to_string() })?;
+                read.map_err(|error| CallError::Interrupted { addr, cause: error.to_string() })?;
             Ok((head.status, bytes, head.headers))
         };
         match tokio::time::timeout(limit, exchange).await {
@@ -169,7 +169,7 @@
         limit: Duration,
     ) -> Result<T, CallError> {
         let bytes = serde_json::to_vec(value)
-            .map_err(|error| CallError::Answer { addr, cause: error.to_string() })?;
+            .map_err(|error| CallError::InvalidResponse { addr, cause: error.to_string() })?;
         let request = build(addr, Method::POST, path, body::full(bytes))?;
         decode(addr, self.call(addr, request, limit).await?)
     }
@@ -181,7 +181,7 @@
     path: &str,
     body: Body,
 ) -> Result<Request<Body>, CallError> {
-    let bad = |error: http::Error| CallError::Answer { addr, cause: error.to_string() };
+    let bad = |error: http::Error| CallError::InvalidResponse { addr, cause: error.to_string() };
     let uri = Uri::builder()
         .scheme("http")
         .authority(addr.to_string())
@@ -206,7 +206,7 @@
         return Err(CallError::Status { addr, status, text });
     }
     serde_json::from_slice(&bytes)
-        .map_err(|error| CallError::Answer { addr, cause: error.to_string() })
+        .map_err(|error| CallError::InvalidResponse { addr, cause: error.to_string() })
 }
 
 fn fault(addr: SocketAddr, error: &legacy::Error) -> CallError {
@@ -214,7 +214,7 @@
     if error.is_connect() {
         CallError::Connect { addr, cause }
     } else {
-        CallError::Broken { addr, cause }
+        CallError::Interrupted { addr, cause }
     }
 }
 
--- a/components/web/tests/server.rs
+++ b/components/web/tests/server.rs
@@ -82,7 +82,7 @@
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf").await;
     });
     let answer = Client::default().call(addr, get(addr, "/"), LIMIT).await;
-    assert!(matches!(answer, Err(CallError::Broken { .. })), "{answer:?}");
+    assert!(matches!(answer, Err(CallError::Interrupted { .. })), "{answer:?}");
 }
 
 #[tokio::test]
