--- a/components/web/src/client.rs
+++ b/components/web/src/client.rs
@@ -95,12 +95,12 @@
         request: Request<Body>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let (status, bytes, _) = self.exchange(addr, request, limit).await?;
+        let (status, bytes, _) = self.call_with_headers(addr, request, limit).await?;
         Ok((status, bytes))
     }
 
     /// The same, with the headers of the answer.
-    pub async fn exchange(
+    pub async fn call_with_headers(
         &self,
         addr: SocketAddr,
         request: Request<Body>,
