--- a/components/web/src/server.rs
+++ b/components/web/src/server.rs
@@ -42,14 +42,14 @@
     /// The version of HTTP.
     pub protocol: Protocol,
     /// HTTP/1: longest wait for a request's header. HTTP/2: pause between pings.
-    pub patience: Duration,
+    pub peer_timeout: Duration,
     /// HTTP/2: the most streams that one connection may have open.
     pub max_streams: u32,
 }
 
 impl Default for ServeOptions {
     fn default() -> Self {
-        Self { protocol: Protocol::Http1, patience: Duration::from_secs(10), max_streams: 10_000 }
+        Self { protocol: Protocol::Http1, peer_timeout: Duration::from_secs(10), max_streams: 10_000 }
     }
 }
 
@@ -127,15 +127,15 @@
     match options.protocol {
         Protocol::Http1 => {
             let mut builder = hyper::server::conn::http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(options.patience);
+            builder.timer(TokioTimer::new()).header_read_timeout(options.peer_timeout);
             drive!(builder.serve_connection(io, service));
         }
         Protocol::Http2 => {
             let mut builder = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
             builder
                 .timer(TokioTimer::new())
-                .keep_alive_interval(options.patience)
-                .keep_alive_timeout(options.patience)
+                .keep_alive_interval(options.peer_timeout)
+                .keep_alive_timeout(options.peer_timeout)
                 .max_concurrent_streams(options.max_streams);
             drive!(builder.serve_connection(io, service));
         }
