--- a/components/access/src/decision/tests.rs
+++ b/components/access/src/decision/tests.rs
@@ -25,7 +25,7 @@
 fn check(workspaces: &Workspaces, credential: Credential, age_ms: u64) -> AccessCheck<'_> {
     let now = Moment::now();
     let mut freshness = Freshness::default();
-    freshness.record_read(now.before(Duration::from_millis(age_ms)));
+    freshness.record_read(now.saturating_sub(Duration::from_millis(age_ms)));
     let (arrived, revocation_bound) = (now, Some(BOUND));
     let workspaces = Some(workspaces);
     AccessCheck {
--- a/components/access/src/freshness.rs
+++ b/components/access/src/freshness.rs
@@ -22,7 +22,7 @@
 
     /// Records the answer of another router to a question sent at `sent`: its own newest read was `age` old at that time.
     pub fn record_peer_read(&mut self, sent: Moment, age: Duration) {
-        self.record_read(sent.before(age));
+        self.record_read(sent.saturating_sub(age));
     }
 
     /// The age of the newest read, if there was one.
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -47,7 +47,7 @@
     }
 
     /// The moment this much earlier.
-    pub fn before(self, span: Duration) -> Self {
+    pub fn saturating_sub(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(span))
     }
 }
--- a/components/clock/src/tests.rs
+++ b/components/clock/src/tests.rs
@@ -15,7 +15,7 @@
 async fn an_earlier_moment_is_older() {
     let now = Moment::now();
     let span = Duration::from_secs(5);
-    assert_eq!(now.since(now.before(span)), span);
+    assert_eq!(now.since(now.saturating_sub(span)), span);
     assert_eq!((now + span).since(now), span);
     assert_eq!(now.since(now + span), Duration::ZERO);
 }
