--- a/components/jsonc/src/lib.rs
+++ b/components/jsonc/src/lib.rs
@@ -3,7 +3,7 @@
 use jsonc_parser::ParseOptions;
 
 /// JSON with comments and trailing commas, and nothing looser, so that a slip is an error.
-pub const DIALECT: ParseOptions = ParseOptions {
+pub const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
     allow_loose_object_property_names: false,
--- a/components/process/src/settings.rs
+++ b/components/process/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use jsonc::DIALECT;
+use jsonc::PARSE_OPTIONS;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -94,7 +94,7 @@
 /// Reads the text of a settings file; `file` only appears in errors.
 pub fn parse_settings<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
     let file = file.to_owned();
-    let value: serde_json::Value = match jsonc_parser::parse_to_serde_value(text, &DIALECT) {
+    let value: serde_json::Value = match jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS) {
         Ok(value) => value,
         Err(cause) => return Err(SettingsError::Syntax { file, cause: cause.to_string() }),
     };
--- a/components/tree/src/file.rs
+++ b/components/tree/src/file.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
 
-use jsonc::DIALECT;
+use jsonc::PARSE_OPTIONS;
 use jsonc_parser::ast::{Object, Value as Ast};
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, parse_to_ast};
@@ -60,7 +60,7 @@
 /// Reads the text of a settings file; `file` only appears in errors.
 pub fn parse(file: &Path, text: &str) -> Result<TreeFile, FileError> {
     let syntax = |cause: String| FileError::Syntax { file: file.to_owned(), cause };
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &DIALECT)
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
         .map_err(|error| syntax(error.to_string()))?;
     let Some(Ast::Object(root)) = parsed.value else {
         return Err(syntax("the file holds no object; write `{ \"children\": { … } }`".to_owned()));
@@ -74,7 +74,7 @@
 
 /// The text of a settings file with another revision, and all else as it was.
 pub fn with_revision(text: &str, revision: Revision) -> String {
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &DIALECT).ok();
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS).ok();
     let Some(Ast::Object(root)) = parsed.and_then(|parsed| parsed.value) else {
         return text.to_owned();
     };
--- a/components/tree/src/rewrite.rs
+++ b/components/tree/src/rewrite.rs
@@ -5,11 +5,11 @@
 use units::NodePath;
 
 use crate::Change;
-use jsonc::DIALECT;
+use jsonc::PARSE_OPTIONS;
 
 /// The text with changes made in it, and all else as it was; nothing if a change finds no place.
 pub fn rewrite(text: &str, changes: &[Change]) -> Option<String> {
-    let root = CstRootNode::parse(text, &DIALECT).ok()?;
+    let root = CstRootNode::parse(text, &PARSE_OPTIONS).ok()?;
     let object = root.object_value()?;
     changes.iter().try_for_each(|change| make(&object, change))?;
     Some(root.to_string())
