--- a/components/journal/src/folded.rs
+++ b/components/journal/src/folded.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
 use edge::Entry;
-use record::{Record, SnapshotChunk, WINDOW};
+use record::{Record, SnapshotChunk, RECORD_WINDOW_OFFSETS};
 use state::{Applied, State};
 use timeline::Recorder;
 use tokio::sync::{Notify, oneshot, watch};
@@ -175,7 +175,7 @@
         *state = newer;
         side.ring.restart(upto);
         side.settle(&state);
-        if skipped > WINDOW {
+        if skipped > RECORD_WINDOW_OFFSETS {
             // What landed in between may be forgotten: the writers learn that they can't know.
             side.waiters.clear();
         }
@@ -190,7 +190,7 @@
     /// Whether a newer state has folded the newest record of the own one, as far as it remembers.
     fn continues(&self, state: &State, newer: &State) -> bool {
         let Some((offset, id)) = state.newest_id() else { return true };
-        if newer.offset().0 - offset.0 < WINDOW {
+        if newer.offset().0 - offset.0 < RECORD_WINDOW_OFFSETS {
             return newer.verdict_of(id) == state.verdict_of(id);
         }
         matches!(*self.health.borrow(), Health::Up | Health::Down)
@@ -290,7 +290,7 @@
 /// The id of a record, if the fold remembers it.
 fn id_of(data: &[u8]) -> Option<String> {
     let record: Record = serde_json::from_slice(data).ok()?;
-    (record.needs >= record.body.since()).then_some(record.id)
+    (record.needs >= record.body.format_version()).then_some(record.id)
 }
 
 fn text(data: &[u8]) -> String {
--- a/components/journal/src/folded/tests.rs
+++ b/components/journal/src/folded/tests.rs
@@ -1,7 +1,7 @@
 use super::{Shared, Source};
 use bytes::Bytes;
 use edge::Entry;
-use record::{Body, Record, WINDOW};
+use record::{Body, Record, RECORD_WINDOW_OFFSETS};
 use state::State;
 use timeline::Recorder;
 use units::{Epoch, InstanceId, Offset};
@@ -30,8 +30,8 @@
 fn can_tell_a_writer_what_landed_early_in_a_long_page() {
     let shared = shared();
     let mut verdict = shared.wait_for("claim");
-    shared.fold(&entries(2 * WINDOW), Source::Log).expect("one log");
-    assert_eq!(shared.offset(), Offset(2 * WINDOW + 1));
+    shared.fold(&entries(2 * RECORD_WINDOW_OFFSETS), Source::Log).expect("one log");
+    assert_eq!(shared.offset(), Offset(2 * RECORD_WINDOW_OFFSETS + 1));
     let applied = verdict.try_recv().expect("the verdict was told");
     assert!(applied.is_done() && applied.offset == Offset(1), "{applied:?}");
 }
@@ -49,7 +49,7 @@
     let shared = shared();
     let mut verdict = shared.wait_for("claim");
     let mut other = shared.wait_for("other");
-    assert!(shared.adopt(folded(&entries(WINDOW - 1))));
+    assert!(shared.adopt(folded(&entries(RECORD_WINDOW_OFFSETS - 1))));
     assert!(verdict.try_recv().is_ok_and(|applied| applied.is_done()));
     assert!(shared.is_waited_for("other"), "it has not landed yet");
     assert_eq!(other.try_recv(), Err(tokio::sync::oneshot::error::TryRecvError::Empty));
@@ -59,7 +59,7 @@
 fn errors_on_a_wait_for_what_the_state_taken_over_has_forgotten() {
     let shared = shared();
     let mut verdict = shared.wait_for("claim");
-    assert!(shared.adopt(folded(&entries(WINDOW + 1))));
+    assert!(shared.adopt(folded(&entries(RECORD_WINDOW_OFFSETS + 1))));
     assert_eq!(verdict.try_recv(), Err(tokio::sync::oneshot::error::TryRecvError::Closed));
     assert!(!shared.is_waited_for("claim"), "it is not repeated");
 }
--- a/components/journal/tests/append.rs
+++ b/components/journal/tests/append.rs
@@ -7,7 +7,7 @@
 use common::{LIMIT, Site, attach, claim, pass};
 use edge::Stream;
 use journal::AppendError;
-use record::WINDOW;
+use record::RECORD_WINDOW_OFFSETS;
 use state::{Verdict, Void};
 use tokio::time::Instant;
 use units::{Epoch, Offset};
@@ -183,12 +183,12 @@
     let journal = node.journal.clone();
     let late = tokio::spawn(async move { journal.append(claim(0), LIMIT).await });
     pass(1).await;
-    for _ in 0..=WINDOW {
+    for _ in 0..=RECORD_WINDOW_OFFSETS {
         site.log.put(Stream::Control, "noise");
     }
     site.log.set(|faults| faults.outage = false);
     let applied = late.await.expect("the task ended").expect("the log is up");
     assert!(applied.is_done(), "{applied:?}");
-    assert_eq!(applied.offset, Offset(WINDOW + 3));
-    assert_eq!(node.journal.read(|state| state.lease().epoch), Epoch(WINDOW + 3));
+    assert_eq!(applied.offset, Offset(RECORD_WINDOW_OFFSETS + 3));
+    assert_eq!(node.journal.read(|state| state.lease().epoch), Epoch(RECORD_WINDOW_OFFSETS + 3));
 }
--- a/components/planner/tests/lease.rs
+++ b/components/planner/tests/lease.rs
@@ -147,7 +147,7 @@
     let claim = Body::Claim { previous: epoch(&site.state()) };
     let name = "entry-9".parse().expect("an instance");
     let record = Record::new("new".to_owned(), name, 0, site.state().offset(), claim);
-    let record = Record { needs: record::FORMAT + 1, ..record };
+    let record = Record { needs: record::FORMAT_VERSION + 1, ..record };
     site.log.put(Stream::Control, serde_json::to_vec(&record).expect("text"));
     pass(1).await;
     let asked = site.log.counters().appends;
--- a/components/record/src/lib.rs
+++ b/components/record/src/lib.rs
@@ -14,13 +14,13 @@
 };
 
 /// The newest version of the record format that this code can apply.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// For how many offsets the ids of records are remembered, and how long a record may be on its way.
-pub const WINDOW: u64 = 4096;
+pub const RECORD_WINDOW_OFFSETS: u64 = 4096;
 
 /// How many cached checkpoints of an endpoint are kept; each process holds those of all endpoints.
-pub const CACHED_MOST: usize = 32;
+pub const MAX_CACHED_CHECKPOINTS: usize = 32;
 
 /// One record with its envelope.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     /// The writer's logical clock.
     pub tick: u64,
     /// The newest offset that the writer had applied when it made the record; a record that surfaces
-    /// more than [`WINDOW`] offsets later is void.
+    /// more than [`RECORD_WINDOW_OFFSETS`] offsets later is void.
     #[serde(default)]
     pub seen: Offset,
     /// What it says.
@@ -153,7 +153,7 @@
     /// The accelerator memory of the endpoint; nothing for plain services.
     pub memory: Size,
     /// Checkpoints that the endpoint has in a cache faster than the store, as it said at the attach, the
-    /// fastest first; only the first [`CACHED_MOST`] count.
+    /// fastest first; only the first [`MAX_CACHED_CHECKPOINTS`] count.
     #[serde(default)]
     pub cached: Vec<ModelName>,
     /// Whether the endpoint refuses orders with an old fencing number.
@@ -209,7 +209,7 @@
 
 impl Body {
     /// The format version that brought this kind of record; a record that needs less is malformed.
-    pub fn since(&self) -> u32 {
+    pub fn format_version(&self) -> u32 {
         match self {
             Self::Edit(_)
             | Self::Claim { .. }
@@ -227,6 +227,6 @@
 impl Record {
     /// A record of this format version by a writer that had applied the log up to `seen`.
     pub fn new(id: String, from: InstanceId, tick: u64, seen: Offset, body: Body) -> Self {
-        Self { needs: body.since(), id, from, tick, seen, body }
+        Self { needs: body.format_version(), id, from, tick, seen, body }
     }
 }
--- a/components/state/examples/fold-bench.rs
+++ b/components/state/examples/fold-bench.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use record::{Attach, Body, CACHED_MOST, Decision, GrantId, Record, WINDOW};
+use record::{Attach, Body, MAX_CACHED_CHECKPOINTS, Decision, GrantId, Record, RECORD_WINDOW_OFFSETS};
 use sample::{add, id, set};
 use serde_json::json;
 use state::{State, chunks, from_text, to_text};
@@ -105,7 +105,7 @@
     let addr = format!("10.{}.{}.{}:7001", number / 62500, number / 250 % 250, number % 250 + 1);
     let addr = addr.parse().expect("an address");
     let cached =
-        (0..CACHED_MOST).map(|n| id(&format!("model-{:03}@v1", (number + n * 29) % 230))).collect();
+        (0..MAX_CACHED_CHECKPOINTS).map(|n| id(&format!("model-{:03}@v1", (number + n * 29) % 230))).collect();
     Body::Attach(Attach {
         instance: id(&format!("assist-{number:04}-5f3a")),
         domain: id(&format!("domain-{}", number % 8)),
@@ -178,7 +178,7 @@
         edit(base, format!("queue-{number}"), vec![set(&path, "queue", json!(number + 1))])
     };
     bench.measure("edit of one setting", (0..scale.models).map(queue).collect());
-    bench.measure("renew, to fill the window", vec![Body::Renew { epoch }; WINDOW as usize]);
+    bench.measure("renew, to fill the window", vec![Body::Renew { epoch }; RECORD_WINDOW_OFFSETS as usize]);
 }
 
 fn shortest<T>(mut work: impl FnMut() -> T) -> Duration {
--- a/components/state/src/fold.rs
+++ b/components/state/src/fold.rs
@@ -154,18 +154,18 @@
         self.grants.share_names(&mut self.names);
     }
 
-    /// What became of a record of the last [`record::WINDOW`] offsets.
+    /// What became of a record of the last [`record::RECORD_WINDOW_OFFSETS`] offsets.
     pub fn verdict_of(&self, id: &str) -> Option<&Applied> {
         self.recent.get(id)
     }
 
     /// The offset and id of the newest record that is no repeat; two states of the same log that are less
-    /// than [`record::WINDOW`] apart both know it.
+    /// than [`record::RECORD_WINDOW_OFFSETS`] apart both know it.
     pub fn newest_id(&self) -> Option<(Offset, &str)> {
         self.recent.newest()
     }
 
-    /// What became of an edit of the last [`record::WINDOW`] offsets.
+    /// What became of an edit of the last [`record::RECORD_WINDOW_OFFSETS`] offsets.
     pub fn edit_verdict(&self, id: &EditId) -> Option<&Applied> {
         self.edits.get(id.as_str())
     }
--- a/components/state/src/recent.rs
+++ b/components/state/src/recent.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use record::WINDOW;
+use record::RECORD_WINDOW_OFFSETS;
 use serde::{Deserialize, Serialize};
 use units::Offset;
 
 use crate::Applied;
 
-/// Ids with what became of them, for [`WINDOW`] offsets.
+/// Ids with what became of them, for [`RECORD_WINDOW_OFFSETS`] offsets.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<(Arc<str>, Applied)>", into = "Vec<(Arc<str>, Applied)>")]
 pub(crate) struct Recent {
@@ -48,7 +48,7 @@
 
 /// Whether what a record at `seen` says is too old at `now`.
 pub(crate) fn expired(seen: Offset, now: Offset) -> bool {
-    now.0.saturating_sub(seen.0) > WINDOW
+    now.0.saturating_sub(seen.0) > RECORD_WINDOW_OFFSETS
 }
 
 impl From<Vec<(Arc<str>, Applied)>> for Recent {
--- a/components/state/src/rules.rs
+++ b/components/state/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules by which records change the state.
 
-use record::{Attach, Body, CACHED_MOST, Decision, GrantId, Record};
+use record::{Attach, Body, MAX_CACHED_CHECKPOINTS, Decision, GrantId, Record};
 use tree::Edit;
 use units::{EndpointId, Epoch, Incarnation, InstanceId, Offset, Revision};
 
@@ -16,7 +16,7 @@
         if let Some(void) = self.unready(offset) {
             return Applied::void(offset, void);
         }
-        if record.needs > record::FORMAT {
+        if record.needs > record::FORMAT_VERSION {
             return self.freeze(offset, record.needs);
         }
         self.advance(offset);
@@ -199,7 +199,7 @@
             return Err(Void::Instance { current: member.attach.instance.clone() });
         }
         let mut attach = attach.clone();
-        attach.cached.truncate(CACHED_MOST);
+        attach.cached.truncate(MAX_CACHED_CHECKPOINTS);
         attach.cached.iter_mut().for_each(|name| self.names.share(name));
         let endpoint = attach.endpoint.clone();
         let member = Member { attach, incarnation: offset.into(), leaving: false };
--- a/components/state/src/snapshot.rs
+++ b/components/state/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use record::{FORMAT, SnapshotChunk};
+use record::{FORMAT_VERSION, SnapshotChunk};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
@@ -53,7 +53,7 @@
 
 /// The text of a snapshot, equal for all processes that have folded the same records.
 pub fn to_text(state: &State) -> String {
-    let written = Written { needs: FORMAT, state };
+    let written = Written { needs: FORMAT_VERSION, state };
     let json = serde_json::to_vec(&written).expect("a state has only text keys");
     STANDARD.encode(lz4_flex::compress_prepend_size(&json))
 }
@@ -70,7 +70,7 @@
         lz4_flex::decompress_size_prepended(&packed).map_err(|e| unreadable(e.to_string()))?;
     let envelope: Envelope =
         serde_json::from_slice(&json).map_err(|e| unreadable(e.to_string()))?;
-    if envelope.needs > FORMAT {
+    if envelope.needs > FORMAT_VERSION {
         return Err(SnapshotError::Format { needs: envelope.needs });
     }
     let read: Read = serde_json::from_slice(&json).map_err(|e| unreadable(e.to_string()))?;
--- a/components/state/src/text.rs
+++ b/components/state/src/text.rs
@@ -1,6 +1,6 @@
 //! Records as the log stores them: text that may come from a newer program, or be no record at all.
 
-use record::{FORMAT, Record};
+use record::{FORMAT_VERSION, Record};
 use serde::Deserialize;
 use units::Offset;
 
@@ -48,7 +48,7 @@
         Ok(envelope) => envelope,
         Err(e) => return Decoded::Malformed(e.to_string()),
     };
-    if envelope.needs > FORMAT {
+    if envelope.needs > FORMAT_VERSION {
         return Decoded::Newer { needs: envelope.needs };
     }
     match serde_json::from_slice(text) {
--- a/components/state/tests/grants.rs
+++ b/components/state/tests/grants.rs
@@ -217,7 +217,7 @@
     let added = log.records[1].clone();
     assert!(log.put("ops", edit("e2", 2, vec![remove("/page")])).is_done());
     assert_eq!(void(&log.put_record(added.clone())), &Void::Repeat { first: Offset(2) });
-    log.fill(record::WINDOW);
+    log.fill(record::RECORD_WINDOW_OFFSETS);
     assert_eq!(void(&log.put_record(added)), &Void::Stale { seen: Offset(1) });
     assert!(log.state.tree().model(&id("page")).is_none());
 }
--- a/components/state/tests/members.rs
+++ b/components/state/tests/members.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, attach, claim, decide, gone, id, leave, release, void};
-use record::{Body, CACHED_MOST};
+use record::{Body, MAX_CACHED_CHECKPOINTS};
 use state::Void;
 use units::Incarnation;
 
@@ -94,8 +94,8 @@
 fn can_keep_no_more_cached_checkpoints_than_every_process_can_hold() {
     let mut log = Log::default();
     let mut attach = attach("a", "a-1", 0);
-    attach.cached = (0..=CACHED_MOST).map(|n| id(&format!("model-{n}@v1"))).collect();
-    let first = attach.cached[..CACHED_MOST].to_vec();
+    attach.cached = (0..=MAX_CACHED_CHECKPOINTS).map(|n| id(&format!("model-{n}@v1"))).collect();
+    let first = attach.cached[..MAX_CACHED_CHECKPOINTS].to_vec();
     assert!(log.put("a-1", Body::Attach(attach)).is_done());
     let member = log.state.member(&id("a"));
     assert_eq!(member.map(|member| &member.attach.cached), Some(&first));
--- a/components/state/tests/repeats.rs
+++ b/components/state/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, attach, claim, decide, gone, id, void};
-use record::{Body, FORMAT, Record, WINDOW};
+use record::{Body, FORMAT_VERSION, Record, RECORD_WINDOW_OFFSETS};
 use rstest::rstest;
 use state::{Applied, State, Verdict, Void};
 use units::{Epoch, Offset};
@@ -34,8 +34,8 @@
 }
 
 #[rstest]
-#[case::last_offset_remembered(WINDOW - 1, Void::Repeat { first: Offset(1) })]
-#[case::first_offset_forgotten(WINDOW, Void::Stale { seen: Offset(0) })]
+#[case::last_offset_remembered(RECORD_WINDOW_OFFSETS - 1, Void::Repeat { first: Offset(1) })]
+#[case::first_offset_forgotten(RECORD_WINDOW_OFFSETS, Void::Stale { seen: Offset(0) })]
 fn errors_on_a_repeat_however_late_it_surfaces(#[case] between: u64, #[case] expected: Void) {
     let mut log = Log::default();
     let body = Body::Attach(attach("a", "a-1", 0));
@@ -50,7 +50,7 @@
 #[test]
 fn errors_on_the_first_copy_of_a_record_that_surfaces_too_late() {
     let mut log = Log::default();
-    log.fill(WINDOW);
+    log.fill(RECORD_WINDOW_OFFSETS);
     let late = log.put_record(record("late", 0, claim(0)));
     assert_eq!(void(&late), &Void::Stale { seen: Offset(0) });
     assert!(log.put_record(record("fresh", 2, claim(0))).is_done());
@@ -70,7 +70,7 @@
 fn can_forget_verdicts_that_are_too_old_to_be_repeated() {
     let mut log = Log::default();
     log.put_record(record("one", 0, claim(0)));
-    log.fill(WINDOW);
+    log.fill(RECORD_WINDOW_OFFSETS);
     assert!(log.state.verdict_of("one").is_some());
     log.fill(1);
     assert_eq!(log.state.verdict_of("one"), None);
@@ -133,10 +133,10 @@
     let first = record("a", 0, claim(0));
     assert!(state.apply_bytes(Offset(1), &text(&first)).is_done());
     let newer = br#"{"needs":2,"id":"b","colour":"blue"}"#;
-    let frozen = Void::Format { needs: FORMAT + 1, at: Offset(2).into() };
+    let frozen = Void::Format { needs: FORMAT_VERSION + 1, at: Offset(2).into() };
     let before = state.clone();
     assert_eq!(void(&state.apply_bytes(Offset(2), newer)), &frozen);
-    assert_eq!(state.frozen().map(|f| (f.at, f.needs)), Some((Offset(2), FORMAT + 1)));
+    assert_eq!(state.frozen().map(|f| (f.at, f.needs)), Some((Offset(2), FORMAT_VERSION + 1)));
     assert_eq!((state.offset(), state.lease()), (Offset(1), before.lease()));
     let next = record("c", 2, claim(1));
     assert_eq!(void(&state.apply_bytes(Offset(3), &text(&next))), &frozen);
@@ -148,7 +148,7 @@
 fn errors_on_a_typed_record_of_a_newer_format() {
     let mut state = State::default();
     let mut newer = record("a", 0, claim(0));
-    newer.needs = FORMAT + 1;
+    newer.needs = FORMAT_VERSION + 1;
     let applied = state.apply(Offset(1), &newer);
     assert!(matches!(void(&applied), Void::Format { .. }));
     assert_eq!(state.offset(), Offset(0));
--- a/src/tests/site.rs
+++ b/src/tests/site.rs
@@ -262,7 +262,7 @@
         let log = self.log.clone();
         tokio::spawn(async move {
             sleep(time).await;
-            for number in 0..=record::WINDOW {
+            for number in 0..=record::RECORD_WINDOW_OFFSETS {
                 let (id, from) =
                     (format!("renew-{number}"), "entry-1".parse().expect("a right id"));
                 let renew = Body::Renew { epoch: Epoch(1) };
