--- a/components/agent/src/answer.rs
+++ b/components/agent/src/answer.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 use web::Body;
-use wire::{End, Refusal, UnknownCause};
+use wire::{ResponseEnd, Refusal, UnknownCause};
 
 use crate::agent::Agent;
 use crate::kept::AnswerHead;
@@ -55,7 +55,7 @@
     slot: Arc<Slot>,
     at: u64,
     chunks: std::vec::IntoIter<Bytes>,
-    end: Option<End>,
+    end: Option<ResponseEnd>,
     done: bool,
 }
 
@@ -64,7 +64,7 @@
         Self { slot, at, chunks: chunks.into_iter(), end: None, done: false }
     }
 
-    fn ended(slot: Arc<Slot>, at: u64, end: End) -> Self {
+    fn ended(slot: Arc<Slot>, at: u64, end: ResponseEnd) -> Self {
         Self { end: Some(end), ..Self::new(slot, at, Vec::new()) }
     }
 
@@ -87,7 +87,7 @@
             match self.slot.next(self.at).await {
                 Progress::Bytes(_, chunks) => self.chunks = chunks.into_iter(),
                 Progress::Ended(_, end) => self.end = Some(end),
-                Progress::Unknown(cause) => self.end = Some(End::Failed(cause)),
+                Progress::Unknown(cause) => self.end = Some(ResponseEnd::Failed(cause)),
                 Progress::Refused(_) | Progress::Pending => return None,
             }
         }
--- a/components/agent/src/cache.rs
+++ b/components/agent/src/cache.rs
@@ -6,7 +6,7 @@
 
 use edge::{CacheChange, CacheEvent, CacheEvents, EndpointError, PrefixHash};
 use units::{Incarnation, ModelName};
-use wire::{PrefixChange, PrefixList, PrefixNews};
+use wire::{PrefixChange, PrefixList, PrefixUpdate};
 
 use crate::agent::Agent;
 use crate::estimate::Average;
@@ -135,7 +135,7 @@
     }
 
     /// What an answer tells of an artifact's prefixes; `service` is how long a request runs.
-    pub(crate) fn news(&mut self, artifact: &ModelName, service: Duration) -> Option<PrefixNews> {
+    pub(crate) fn news(&mut self, artifact: &ModelName, service: Duration) -> Option<PrefixUpdate> {
         self.caches.get_mut(artifact).map(|cache| cache.news(service))
     }
 }
@@ -163,13 +163,13 @@
         self.recent.clear();
     }
 
-    fn news(&mut self, service: Duration) -> PrefixNews {
+    fn news(&mut self, service: Duration) -> PrefixUpdate {
         let others = self.known.len().saturating_sub(TOLD);
         let repeated = (0..REPEATED.min(others)).map(|place| (self.turn + place) % others);
         let cached = repeated.map(|at| PrefixChange { prefix: self.known[at], stored: true });
         let cached = PrefixList(cached.collect());
         self.turn = self.turn.wrapping_add(REPEATED);
-        PrefixNews {
+        PrefixUpdate {
             epoch: self.epoch,
             upto: self.upto,
             gaps: self.gaps,
--- a/components/agent/src/run/tests/draining.rs
+++ b/components/agent/src/run/tests/draining.rs
@@ -86,7 +86,7 @@
     running.phase.send_replace(ShutdownPhase::Force);
     let answer = run.await.expect("an answer");
     let Answer::Served { end, .. } = &answer else { panic!("{answer:?}") };
-    assert_eq!(end, &Some(wire::End::Failed(UnknownCause::AgentGone)));
+    assert_eq!(end, &Some(wire::ResponseEnd::Failed(UnknownCause::AgentGone)));
     running.task.await.expect("an agent that ends");
 }
 
--- a/components/agent/src/run/tests/failures.rs
+++ b/components/agent/src/run/tests/failures.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::json;
 use units::{Size, Span};
-use wire::{Dispatch, End, Refusal, UnknownCause};
+use wire::{Dispatch, ResponseEnd, Refusal, UnknownCause};
 
 use super::world::{Answer, World, id, pause, set, settings, until};
 use crate::EndpointKind;
@@ -117,7 +117,7 @@
     let answer = answer.await.expect("an answer");
     let Answer::Served { text, end, .. } = &answer else { panic!("{answer:?}") };
     assert!(text.starts_with("t0 t1 "));
-    assert!(matches!(end, Some(End::Failed(UnknownCause::Endpoint { .. }))), "{end:?}");
+    assert!(matches!(end, Some(ResponseEnd::Failed(UnknownCause::Endpoint { .. }))), "{end:?}");
     let again = running.dispatch(&running.head("r-2")).await.expect("an answer");
     assert!(again.whole().is_some(), "{again:?}");
     let truth = world.engine.truth();
--- a/components/agent/src/run/tests/http.rs
+++ b/components/agent/src/run/tests/http.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tree::Class;
 use units::{Incarnation, Span};
-use wire::{Dispatch, End, Resume};
+use wire::{Dispatch, ResponseEnd, Resume};
 
 use super::world::{Answer, World, id, read, settings, until};
 use crate::EndpointKind;
@@ -87,7 +87,7 @@
     let answer = second.send_request(resume(agent.incarnation(), 3)).await.expect("a head");
     let Answer::Served { text, end, .. } = read(answer).await else { panic!("not served") };
     assert!(text.starts_with("t1 t2 ") && text.ends_with("t39 "), "{text}");
-    assert_eq!(end, Some(End::Whole { length: text.len() as u64 + 3 }));
+    assert_eq!(end, Some(ResponseEnd::Whole { length: text.len() as u64 + 3 }));
     assert_eq!(world.engine.truth().executions["r-1"], 1);
 
     phase.send_replace(ShutdownPhase::Drain);
--- a/components/agent/src/run/tests/serving.rs
+++ b/components/agent/src/run/tests/serving.rs
@@ -3,7 +3,7 @@
 use edge::{CacheChange, CacheEvent, PrefixHash};
 use timeline::Tick;
 use units::{Incarnation, Span};
-use wire::{Dispatch, End, Refusal, Resume, UnknownCause};
+use wire::{Dispatch, ResponseEnd, Refusal, Resume, UnknownCause};
 
 use super::world::{Answer, World, id, pause, until};
 use crate::replica::Phase;
@@ -62,7 +62,7 @@
     let rest = running.resume("r-1", 3, false).await.expect("an answer");
     let Answer::Served { text, end, .. } = rest else { panic!("{rest:?}") };
     assert_eq!(text, &WHOLE[3..]);
-    assert_eq!(end, Some(End::Whole { length: 12 }));
+    assert_eq!(end, Some(ResponseEnd::Whole { length: 12 }));
     let again = running.resume("r-1", 0, false).await.expect("an answer");
     assert_eq!(again.whole(), Some(WHOLE));
     assert_eq!(world.engine.truth().executions["r-1"], 1);
--- a/components/agent/src/run/tests/world.rs
+++ b/components/agent/src/run/tests/world.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 use tree::{Change, Class, Edit, NodeKind};
 use units::{Epoch, Incarnation, Offset, Revision, Size, Span};
-use wire::{Control, Dispatch, End, Refusal, Reply, Report, Resume, UnknownCause};
+use wire::{Control, Dispatch, ResponseEnd, Refusal, Reply, Report, Resume, UnknownCause};
 
 use crate::agent::Agent;
 use crate::desk::Closed;
@@ -120,7 +120,7 @@
 /// How an exchange with the agent ended.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Answer {
-    Served { text: String, end: Option<End>, report: Report },
+    Served { text: String, end: Option<ResponseEnd>, report: Report },
     NotRun { refusal: Refusal, report: Option<Report> },
     Unknown(UnknownCause),
     Other(StatusCode),
@@ -130,7 +130,7 @@
     /// The whole text, if it came whole.
     pub(crate) fn whole(&self) -> Option<&str> {
         match self {
-            Self::Served { text, end: Some(End::Whole { length }), .. }
+            Self::Served { text, end: Some(ResponseEnd::Whole { length }), .. }
                 if *length == text.len() as u64 =>
             {
                 Some(text)
@@ -424,7 +424,7 @@
             Ok(data) => bytes.extend(data),
             Err(frame) => {
                 let trailers = frame.into_trailers().expect("data or trailers");
-                end = wire::end_from(&trailers).ok();
+                end = wire::parse_end_trailers(&trailers).ok();
             }
         }
     }
--- a/components/agent/src/slot.rs
+++ b/components/agent/src/slot.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 use units::{ModelName, RequestId};
-use wire::{End, Refusal, UnknownCause};
+use wire::{ResponseEnd, Refusal, UnknownCause};
 
 use crate::kept::{Answer, AnswerHead, KeptBytes};
 
@@ -19,7 +19,7 @@
     /// The endpoint answers.
     Answering(Answer),
     /// The answer has ended.
-    Answered(Answer, End),
+    Answered(Answer, ResponseEnd),
     /// It did not run and never will.
     Refused(Refusal),
     /// It may have run; its outcome is lost.
@@ -34,7 +34,7 @@
     /// The head and the bytes that follow the reader's position.
     Bytes(AnswerHead, Vec<Bytes>),
     /// All bytes were read, and the answer has ended.
-    Ended(AnswerHead, End),
+    Ended(AnswerHead, ResponseEnd),
     /// The request did not run and never will.
     Refused(Refusal),
     /// It may have run; its outcome is lost.
@@ -183,10 +183,10 @@
         inner.stage = match (stage, failure) {
             (Stage::Answering(answer), None) => {
                 let length = answer.length();
-                Stage::Answered(answer.joined(), End::Whole { length })
+                Stage::Answered(answer.joined(), ResponseEnd::Whole { length })
             }
             (Stage::Answering(answer), Some(cause)) => {
-                Stage::Answered(answer.joined(), End::Failed(cause))
+                Stage::Answered(answer.joined(), ResponseEnd::Failed(cause))
             }
             (Stage::Running, Some(cause)) => Stage::Unknown(cause),
             (other, _) => other,
@@ -289,8 +289,8 @@
     pub(crate) fn summary(&self) -> String {
         match &self.lock().stage {
             Stage::Queued | Stage::Running | Stage::Answering(_) => "not over".to_owned(),
-            Stage::Answered(_, End::Whole { length }) => format!("served, {length} bytes"),
-            Stage::Answered(_, End::Failed(cause)) | Stage::Unknown(cause) => {
+            Stage::Answered(_, ResponseEnd::Whole { length }) => format!("served, {length} bytes"),
+            Stage::Answered(_, ResponseEnd::Failed(cause)) | Stage::Unknown(cause) => {
                 format!("unknown: {cause}")
             }
             Stage::Refused(refusal) => format!("not run: {refusal}"),
--- a/components/agent/src/slot/tests.rs
+++ b/components/agent/src/slot/tests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::StatusCode;
-use wire::{End, Refusal, UnknownCause};
+use wire::{ResponseEnd, Refusal, UnknownCause};
 
 use super::{Cancel, Progress, Slot};
 use crate::kept::{AnswerHead, KeptBytes};
@@ -40,7 +40,7 @@
         assert_eq!(text(&slot.now(from as u64)), whole[from..]);
     }
     let end = slot.now(whole.len() as u64);
-    assert!(matches!(end, Progress::Ended(_, End::Whole { length: 13 })), "{end:?}");
+    assert!(matches!(end, Progress::Ended(_, ResponseEnd::Whole { length: 13 })), "{end:?}");
 }
 
 #[test]
--- a/components/entry/examples/overhead/endpoint.rs
+++ b/components/entry/examples/overhead/endpoint.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Frame, Incoming};
 use tokio::sync::watch;
 use web::{Body, Protocol, ServeOptions};
-use wire::{Dispatch, End, Report, end_trailers};
+use wire::{Dispatch, ResponseEnd, Report, end_trailers};
 
 const SMALL: &[u8] = &[b'x'; 200];
 const EVENT: &[u8] = b"data: {\"choices\":[{\"text\":\" word\"}]}\n\n";
@@ -74,7 +74,7 @@
         tokio::task::yield_now().await;
         Ok::<_, Infallible>(Frame::data(chunk))
     });
-    let end = Frame::trailers(end_trailers(&End::Whole { length }));
+    let end = Frame::trailers(end_trailers(&ResponseEnd::Whole { length }));
     let end = stream::iter((protocol == Protocol::Http2).then_some(Ok(end)));
     let body = StreamBody::new(data.chain(end)).map_err(|never| match never {}).boxed_unsync();
     with_type(Response::new(body), content)
--- a/components/entry/src/prefix.rs
+++ b/components/entry/src/prefix.rs
@@ -8,7 +8,7 @@
 use edge::PrefixHash;
 use tokio::time::Instant;
 use units::ModelName;
-use wire::{PrefixChange, PrefixNews, Report};
+use wire::{PrefixChange, PrefixUpdate, Report};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use crate::load::{Place, weight};
@@ -136,7 +136,7 @@
         self.feeds.get(place).copied().unwrap_or_default()
     }
 
-    fn follow(&mut self, place: &Place, news: &PrefixNews) {
+    fn follow(&mut self, place: &Place, news: &PrefixUpdate) {
         let known = self.feeds.get(place).copied();
         let same = known.filter(|feed| feed.epoch == news.epoch);
         let late = known.is_some_and(|feed| {
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tree::Class;
-use wire::{End, Refusal, Report, UnknownCause, end_from};
+use wire::{ResponseEnd, Refusal, Report, UnknownCause, parse_end_trailers};
 
 use crate::answer::{AnswerHead, Message, is_event_stream};
 use crate::candidate::Candidate;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 enum Part {
     Bytes(Bytes),
-    End(End),
+    End(ResponseEnd),
     Cut,
 }
 
@@ -164,10 +164,10 @@
         }
     }
 
-    async fn end(&mut self, end: End) -> Relayed {
+    async fn end(&mut self, end: ResponseEnd) -> Relayed {
         let length = match end {
-            End::Whole { length } => length,
-            End::Failed(cause) => return Relayed::Unknown(cause),
+            ResponseEnd::Whole { length } => length,
+            ResponseEnd::Failed(cause) => return Relayed::Unknown(cause),
         };
         if length > self.received.bytes {
             return Relayed::Cut;
@@ -228,7 +228,7 @@
             Ok(bytes) => return Part::Bytes(bytes),
             Err(frame) => {
                 let trailers = frame.into_trailers().unwrap_or_default();
-                return end_from(&trailers).map_or(Part::Cut, Part::End);
+                return parse_end_trailers(&trailers).map_or(Part::Cut, Part::End);
             }
         }
     }
--- a/components/entry/tests/sessions/kit/agent.rs
+++ b/components/entry/tests/sessions/kit/agent.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use units::{Incarnation, RequestId, Span};
 use web::Body;
-use wire::{Dispatch, End, Refusal, Report, Resume, UnknownCause, end_trailers};
+use wire::{Dispatch, ResponseEnd, Refusal, Report, Resume, UnknownCause, end_trailers};
 
 /// What the agent does with the next dispatch.
 #[derive(Debug, Clone)]
@@ -284,13 +284,13 @@
             Act::Long { kib } => {
                 self.start(id, Row::Failed);
                 let bytes = vec![b'x'; kib << 10];
-                let end = End::Whole { length: bytes.len() as u64 };
+                let end = ResponseEnd::Whole { length: bytes.len() as u64 };
                 self.stream(200, "text/plain", &bytes, Last::End(end))
             }
             Act::FailAt { content, body, at } => {
                 self.start(id, Row::Failed);
                 let cause = UnknownCause::Endpoint { cause: "the engine died".to_owned() };
-                self.stream(200, content, &body.as_bytes()[..at], Last::End(End::Failed(cause)))
+                self.stream(200, content, &body.as_bytes()[..at], Last::End(ResponseEnd::Failed(cause)))
             }
             Act::Refuse(refusal) => self.refuse(&refusal),
             Act::Unknown(cause) => {
@@ -434,10 +434,10 @@
 }
 
 enum Last {
-    End(End),
+    End(ResponseEnd),
     Cut,
 }
 
 fn whole(body: &str) -> Last {
-    Last::End(End::Whole { length: body.len() as u64 })
+    Last::End(ResponseEnd::Whole { length: body.len() as u64 })
 }
--- a/components/entry/tests/sessions/routing.rs
+++ b/components/entry/tests/sessions/routing.rs
@@ -180,7 +180,7 @@
     let start = "a start that only the engine knows of ";
     let prefix = edge::PrefixHash::of(&start.repeat(8)).short();
     let changes = wire::PrefixList(vec![wire::PrefixChange { prefix, stored: true }]);
-    let news = wire::PrefixNews { epoch: 1, upto: 1, saved: 500, changes, ..Default::default() };
+    let news = wire::PrefixUpdate { epoch: 1, upto: 1, saved: 500, changes, ..Default::default() };
     let mut world = World::new().await;
     let agents = [world.replica(0, "saddar").await, world.replica(1, "saddar").await];
     let cached = |running| Report { prefixes: Some(news.clone()), ..report(0, running, 2) };
--- a/components/wire/src/dispatch.rs
+++ b/components/wire/src/dispatch.rs
@@ -8,7 +8,7 @@
 use tree::Class;
 use units::{AdapterName, CallerGroup, Incarnation, InstanceId, ModelName, RequestId, Span};
 
-use crate::{PrefixNews, Refusal, UnknownCause};
+use crate::{PrefixUpdate, Refusal, UnknownCause};
 
 /// The path of a dispatch.
 pub const DISPATCH_PATH: &str = "/dispatch";
@@ -82,13 +82,13 @@
     pub tick: Tick,
     /// News of the model's prompt prefixes in the engine's cache, if the engine tells of them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub prefixes: Option<PrefixNews>,
+    pub prefixes: Option<PrefixUpdate>,
 }
 
 /// How the stream of an answer ended; a stream with no end was cut.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "end")]
-pub enum End {
+pub enum ResponseEnd {
     /// The answer is whole.
     Whole {
         /// Its length in bytes.
@@ -101,7 +101,7 @@
 /// Why a head can't be read.
 #[derive(Debug, Error)]
 #[error("the header `{name}` is missing or wrong: {cause}")]
-pub struct HeadError {
+pub struct InvalidHeader {
     name: &'static str,
     cause: String,
 }
@@ -113,11 +113,11 @@
     }
 }
 
-fn take<T: DeserializeOwned>(name: &'static str, headers: &HeaderMap) -> Result<T, HeadError> {
+fn take<T: DeserializeOwned>(name: &'static str, headers: &HeaderMap) -> Result<T, InvalidHeader> {
     let value =
-        headers.get(name).ok_or_else(|| HeadError { name, cause: "it is missing".to_owned() })?;
+        headers.get(name).ok_or_else(|| InvalidHeader { name, cause: "it is missing".to_owned() })?;
     serde_json::from_slice(value.as_bytes())
-        .map_err(|error| HeadError { name, cause: error.to_string() })
+        .map_err(|error| InvalidHeader { name, cause: error.to_string() })
 }
 
 macro_rules! in_header {
@@ -129,7 +129,7 @@
             }
 
             /// Reads it from the header.
-            pub fn read(headers: &HeaderMap) -> Result<Self, HeadError> {
+            pub fn read(headers: &HeaderMap) -> Result<Self, InvalidHeader> {
                 take($name, headers)
             }
         }
@@ -141,14 +141,14 @@
 in_header!(Report, REPORT);
 
 /// The trailers that end an answer.
-pub fn end_trailers(end: &End) -> HeaderMap {
+pub fn end_trailers(end: &ResponseEnd) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     put(END, end, &mut trailers);
     trailers
 }
 
 /// Reads the end of an answer from its trailers.
-pub fn end_from(trailers: &HeaderMap) -> Result<End, HeadError> {
+pub fn parse_end_trailers(trailers: &HeaderMap) -> Result<ResponseEnd, InvalidHeader> {
     take(END, trailers)
 }
 
--- a/components/wire/src/prefixes.rs
+++ b/components/wire/src/prefixes.rs
@@ -7,7 +7,7 @@
 /// News of the prompt prefixes that are cached for a model at an endpoint; a hole between `upto` and the
 /// changes shows that some were missed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PrefixNews {
+pub struct PrefixUpdate {
     /// Which life of the cache it is: what was known of an earlier one is void.
     pub epoch: u64,
     /// The number of the newest change.
