--- a/components/agent/src/agent.rs
+++ b/components/agent/src/agent.rs
@@ -5,7 +5,7 @@
 
 use edge::Endpoint;
 use journal::Journal;
-use peer::Ask;
+use peer::Transport;
 use policy::Calendar;
 use process::Shutdown;
 use timeline::{Event, Kind, Recorder};
@@ -29,7 +29,7 @@
     pub(crate) calendar: Calendar,
     pub(crate) recorder: Recorder,
     pub(crate) shutdown: Shutdown,
-    pub(crate) network: Arc<dyn Ask>,
+    pub(crate) network: Arc<dyn Transport>,
     pub(crate) authority: Authority,
     /// Told when the planner has seen this instance leaving on the platform's list.
     pub(crate) told: Notify,
--- a/components/agent/src/answer.rs
+++ b/components/agent/src/answer.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 use web::Body;
-use wire::{ResponseEnd, Refusal, UnknownCause};
+use wire::{Refusal, ResponseEnd, UnknownCause};
 
 use crate::agent::Agent;
 use crate::kept::AnswerHead;
--- a/components/agent/src/run.rs
+++ b/components/agent/src/run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use edge::{Endpoint, HttpEndpoint, HttpList, HttpLog, InstanceList, LogService};
-use peer::Ask;
+use peer::Transport;
 use policy::Calendar;
 use process::{Process, Shutdown, ShutdownPhase, StartError};
 use timeline::Recorder;
@@ -27,7 +27,7 @@
     /// The endpoint.
     pub endpoint: Arc<dyn Endpoint>,
     /// The network between peers.
-    pub network: Arc<dyn Ask>,
+    pub network: Arc<dyn Transport>,
     /// What closing windows are read against.
     pub calendar: Calendar,
 }
@@ -80,7 +80,7 @@
 }
 
 /// An agent that needs news of the log to order its endpoint asks for it more often than its lease lasts.
-fn journal_options(settings: &Settings, network: Arc<dyn Ask>) -> journal::Options {
+fn journal_options(settings: &Settings, network: Arc<dyn Transport>) -> journal::Options {
     let seeds = settings.seeds.clone();
     let mut options = journal::Options { seeds, network, ..Default::default() };
     if let Some(lease) = settings.lease() {
--- a/components/agent/src/run/tests/failures.rs
+++ b/components/agent/src/run/tests/failures.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::json;
 use units::{Size, Span};
-use wire::{Dispatch, ResponseEnd, Refusal, UnknownCause};
+use wire::{Dispatch, Refusal, ResponseEnd, UnknownCause};
 
 use super::world::{Answer, World, id, pause, set, settings, until};
 use crate::EndpointKind;
--- a/components/agent/src/run/tests/serving.rs
+++ b/components/agent/src/run/tests/serving.rs
@@ -3,7 +3,7 @@
 use edge::{CacheChange, CacheEvent, PrefixHash};
 use timeline::Tick;
 use units::{Incarnation, Span};
-use wire::{Dispatch, ResponseEnd, Refusal, Resume, UnknownCause};
+use wire::{Dispatch, Refusal, ResponseEnd, Resume, UnknownCause};
 
 use super::world::{Answer, World, id, pause, until};
 use crate::replica::Phase;
--- a/components/agent/src/run/tests/world.rs
+++ b/components/agent/src/run/tests/world.rs
@@ -10,7 +10,7 @@
 use edge::{Endpoint, LogError, LogService, Page, Stream};
 use http::{Request, StatusCode};
 use http_body_util::BodyExt;
-use peer::{Ask, AskError};
+use peer::{PeerError, Transport};
 use policy::Calendar;
 use process::{Identity, Shutdown, ShutdownPhase};
 use record::{Attach, Body, Decision, GrantId, Record};
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 use tree::{Change, Class, Edit, NodeKind};
 use units::{Epoch, Incarnation, Offset, Revision, Size, Span};
-use wire::{Control, Dispatch, ResponseEnd, Refusal, Reply, Report, Resume, UnknownCause};
+use wire::{Control, Dispatch, Refusal, Reply, Report, ResponseEnd, Resume, UnknownCause};
 
 use crate::agent::Agent;
 use crate::desk::Closed;
@@ -57,13 +57,13 @@
 }
 
 #[async_trait]
-impl Ask for Network {
-    async fn ask(
+impl Transport for Network {
+    async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         _limit: Duration,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, PeerError> {
         let control = serde_json::from_slice(&message).expect("a message");
         if matches!(control, Control::Wake { .. }) {
             self.asked.lock().expect("a lock").push((addr, control));
--- a/components/agent/src/slot.rs
+++ b/components/agent/src/slot.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 use units::{ModelName, RequestId};
-use wire::{ResponseEnd, Refusal, UnknownCause};
+use wire::{Refusal, ResponseEnd, UnknownCause};
 
 use crate::kept::{Answer, AnswerHead, KeptBytes};
 
--- a/components/agent/src/slot/tests.rs
+++ b/components/agent/src/slot/tests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::StatusCode;
-use wire::{ResponseEnd, Refusal, UnknownCause};
+use wire::{Refusal, ResponseEnd, UnknownCause};
 
 use super::{Cancel, Progress, Slot};
 use crate::kept::{AnswerHead, KeptBytes};
--- a/components/agent/src/wake.rs
+++ b/components/agent/src/wake.rs
@@ -40,7 +40,7 @@
 
 async fn ask(agent: &Agent, addr: SocketAddr, control: &Control) -> Result<(), String> {
     let message = serde_json::to_vec(control).map_err(|error| error.to_string())?;
-    let answer = agent.network.ask(addr, Bytes::from(message), ASK_LIMIT).await;
+    let answer = agent.network.request(addr, Bytes::from(message), ASK_LIMIT).await;
     let answer = answer.map_err(|error| error.to_string())?;
     if let Ok(Reply::Position { tick, .. }) = serde_json::from_slice(&answer) {
         agent.recorder.clock().observe(tick);
--- a/components/edge/src/link.rs
+++ b/components/edge/src/link.rs
@@ -59,8 +59,10 @@
         value: &impl Serialize,
         limit: Duration,
     ) -> Result<Answer, CallError> {
-        let bytes = serde_json::to_vec(value)
-            .map_err(|error| CallError::InvalidResponse { addr: self.addr, cause: error.to_string() })?;
+        let bytes = serde_json::to_vec(value).map_err(|error| CallError::InvalidResponse {
+            addr: self.addr,
+            cause: error.to_string(),
+        })?;
         self.send(Method::POST, path, web::full(bytes), limit).await
     }
 
@@ -76,7 +78,10 @@
             .uri(format!("http://{}{path}", self.addr))
             .header("content-type", "application/json")
             .body(body)
-            .map_err(|error| CallError::InvalidResponse { addr: self.addr, cause: error.to_string() })?;
+            .map_err(|error| CallError::InvalidResponse {
+                addr: self.addr,
+                cause: error.to_string(),
+            })?;
         let client = self.client.lock().unwrap_or_else(PoisonError::into_inner).clone();
         match client.call(self.addr, request, limit).await {
             Ok((status, body)) => Ok(Answer { status, body }),
--- a/components/entry/examples/overhead/endpoint.rs
+++ b/components/entry/examples/overhead/endpoint.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Frame, Incoming};
 use tokio::sync::watch;
 use web::{Body, Protocol, ServeOptions};
-use wire::{Dispatch, ResponseEnd, Report, end_trailers};
+use wire::{Dispatch, Report, ResponseEnd, end_trailers};
 
 const SMALL: &[u8] = &[b'x'; 200];
 const EVENT: &[u8] = b"data: {\"choices\":[{\"text\":\" word\"}]}\n\n";
--- a/components/entry/src/control.rs
+++ b/components/entry/src/control.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
-use peer::Ask;
+use peer::Transport;
 use planner::DemandLog;
 use state::State;
 use wire::{Control, Demand, Reply};
@@ -55,7 +55,7 @@
     core: Arc<Core>,
     demand: DemandLog,
     peers: Vec<SocketAddr>,
-    network: Arc<dyn Ask>,
+    network: Arc<dyn Transport>,
 ) {
     let pause = PAUSE.max(PAUSE * u32::try_from(peers.len()).unwrap_or(u32::MAX) / ASKED_A_PAUSE);
     loop {
@@ -69,16 +69,16 @@
 }
 
 /// What the peers have seen since they were asked last; what is lost on the way is not counted.
-async fn fetch_all(network: &Arc<dyn Ask>, peers: &[SocketAddr]) -> Vec<Demand> {
+async fn fetch_all(network: &Arc<dyn Transport>, peers: &[SocketAddr]) -> Vec<Demand> {
     let peers = stream::iter(peers.to_vec());
     let asks = peers.map(|peer| fetch(network.clone(), peer)).buffer_unordered(AT_ONCE);
     let told: Vec<Vec<Demand>> = asks.collect().await;
     told.concat()
 }
 
-async fn fetch(network: Arc<dyn Ask>, peer: SocketAddr) -> Vec<Demand> {
+async fn fetch(network: Arc<dyn Transport>, peer: SocketAddr) -> Vec<Demand> {
     let message = serde_json::to_vec(&Control::FetchDemand).unwrap_or_default();
-    let answer = network.ask(peer, Bytes::from(message), LIMIT).await;
+    let answer = network.request(peer, Bytes::from(message), LIMIT).await;
     let answer = answer.inspect_err(|error| log::debug!("control: {error}"));
     match answer.ok().and_then(|text| serde_json::from_slice(&text).ok()) {
         Some(Reply::Demand { demand }) => demand,
--- a/components/entry/src/control/tests.rs
+++ b/components/entry/src/control/tests.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use fake::{Log, Net};
 use journal::{Journal, Keys, Options};
-use peer::Ask;
+use peer::Transport;
 use process::Shutdown;
 use record::Body;
 use timeline::Recorder;
@@ -64,7 +64,7 @@
         core.tally.refused(&demand(1).model);
     }
     let asked = [addr(1), addr(2), addr(3)];
-    let network: Arc<dyn Ask> = Arc::new(net.port(addr(4)));
+    let network: Arc<dyn Transport> = Arc::new(net.port(addr(4)));
     let told = fetch_all(&network, &asked).await;
     assert_eq!(told, [demand(2), demand(2)]);
     assert_eq!(fetch_all(&network, &asked).await, [], "each request is told once");
--- a/components/entry/src/prefix/tests.rs
+++ b/components/entry/src/prefix/tests.rs
@@ -19,7 +19,8 @@
 
 fn news(upto: u64, gaps: u64, changes: &str) -> Report {
     let changes = PrefixList::try_from(changes.to_owned()).expect("a list");
-    let news = PrefixUpdate { epoch: 1, upto, gaps, changes, saved: 400, ..PrefixUpdate::default() };
+    let news =
+        PrefixUpdate { epoch: 1, upto, gaps, changes, saved: 400, ..PrefixUpdate::default() };
     Report { warm: true, prefixes: Some(news), ..Report::default() }
 }
 
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tree::Class;
-use wire::{ResponseEnd, Refusal, Report, UnknownCause, parse_end_trailers};
+use wire::{Refusal, Report, ResponseEnd, UnknownCause, parse_end_trailers};
 
 use crate::answer::{AnswerHead, Message, is_event_stream};
 use crate::candidate::Candidate;
--- a/components/entry/tests/sessions/kit/agent.rs
+++ b/components/entry/tests/sessions/kit/agent.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use units::{Incarnation, RequestId, Span};
 use web::Body;
-use wire::{Dispatch, ResponseEnd, Refusal, Report, Resume, UnknownCause, end_trailers};
+use wire::{Dispatch, Refusal, Report, ResponseEnd, Resume, UnknownCause, end_trailers};
 
 /// What the agent does with the next dispatch.
 #[derive(Debug, Clone)]
@@ -290,7 +290,12 @@
             Act::FailAt { content, body, at } => {
                 self.start(id, Row::Failed);
                 let cause = UnknownCause::Endpoint { cause: "the engine died".to_owned() };
-                self.stream(200, content, &body.as_bytes()[..at], Last::End(ResponseEnd::Failed(cause)))
+                self.stream(
+                    200,
+                    content,
+                    &body.as_bytes()[..at],
+                    Last::End(ResponseEnd::Failed(cause)),
+                )
             }
             Act::Refuse(refusal) => self.refuse(&refusal),
             Act::Unknown(cause) => {
--- a/components/fake/src/net.rs
+++ b/components/fake/src/net.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use peer::{Ask, AskError};
+use peer::{PeerError, Transport};
 use tokio::time::{sleep, timeout};
 
 type Answer = Pin<Box<dyn Future<Output = Bytes> + Send>>;
@@ -88,13 +88,13 @@
         (core.asks, core.bytes)
     }
 
-    fn reach(&self, from: SocketAddr, to: SocketAddr) -> Result<Option<Handler>, AskError> {
+    fn reach(&self, from: SocketAddr, to: SocketAddr) -> Result<Option<Handler>, PeerError> {
         let core = self.core();
         if core.lost.contains(&from) || core.lost.contains(&to) {
             return Ok(None);
         }
         let handler = core.handlers.get(&to).cloned();
-        handler.map(Some).ok_or_else(|| AskError::new(to, "nobody listens there"))
+        handler.map(Some).ok_or_else(|| PeerError::new(to, "nobody listens there"))
     }
 
     fn count(&self, bytes: u64) {
@@ -108,7 +108,7 @@
         from: SocketAddr,
         to: SocketAddr,
         message: Bytes,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, PeerError> {
         let delay = self.core().delay;
         sleep(delay).await;
         let Some(handler) = self.reach(from, to)? else { return std::future::pending().await };
@@ -121,14 +121,14 @@
 }
 
 #[async_trait]
-impl Ask for Port {
-    async fn ask(
+impl Transport for Port {
+    async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         limit: Duration,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, PeerError> {
         let answer = timeout(limit, self.net.carry(self.addr, addr, message)).await;
-        answer.unwrap_or_else(|_| Err(AskError::new(addr, format!("it took over {limit:?}"))))
+        answer.unwrap_or_else(|_| Err(PeerError::new(addr, format!("it took over {limit:?}"))))
     }
 }
--- a/components/journal/src/folded.rs
+++ b/components/journal/src/folded.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
 use edge::Entry;
-use record::{Record, SnapshotChunk, RECORD_WINDOW_OFFSETS};
+use record::{RECORD_WINDOW_OFFSETS, Record, SnapshotChunk};
 use state::{Applied, State};
 use timeline::Recorder;
 use tokio::sync::{Notify, oneshot, watch};
--- a/components/journal/src/folded/tests.rs
+++ b/components/journal/src/folded/tests.rs
@@ -1,7 +1,7 @@
 use super::{Shared, Source};
 use bytes::Bytes;
 use edge::Entry;
-use record::{Body, Record, RECORD_WINDOW_OFFSETS};
+use record::{Body, RECORD_WINDOW_OFFSETS, Record};
 use state::State;
 use timeline::Recorder;
 use units::{Epoch, InstanceId, Offset};
--- a/components/journal/src/follow.rs
+++ b/components/journal/src/follow.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use edge::{LogService, Stream};
-use peer::Ask;
+use peer::Transport;
 use record::{Body, Record};
 use state::{Applied, State, Verdict, Void};
 use timeline::Recorder;
@@ -42,7 +42,7 @@
     /// When the log needs a new snapshot.
     pub snapshot: SnapshotRule,
     /// The network between peers.
-    pub network: Arc<dyn Ask>,
+    pub network: Arc<dyn Transport>,
 }
 
 impl Default for Options {
--- a/components/journal/src/peers.rs
+++ b/components/journal/src/peers.rs
@@ -33,7 +33,7 @@
 
     async fn ask(&self, addr: SocketAddr, control: &Control, limit: Duration) -> Option<Reply> {
         let message = Bytes::from(serde_json::to_vec(control).ok()?);
-        let answer = self.shared.options.network.ask(addr, message, limit).await;
+        let answer = self.shared.options.network.request(addr, message, limit).await;
         let answer = answer.inspect_err(|error| log::debug!("journal: {error}")).ok()?;
         serde_json::from_slice(&answer).ok()
     }
--- a/components/peer/src/client.rs
+++ b/components/peer/src/client.rs
@@ -33,7 +33,7 @@
 /// Why a peer gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("no answer from the peer at {addr}: {cause}")]
-pub struct AskError {
+pub struct PeerError {
     addr: SocketAddr,
     cause: String,
 }
@@ -56,7 +56,7 @@
     open: Arc<Mutex<HashMap<SocketAddr, Open>>>,
 }
 
-impl AskError {
+impl PeerError {
     /// No answer from a peer, and why.
     pub fn new(addr: SocketAddr, cause: impl Into<String>) -> Self {
         Self { addr, cause: cause.into() }
@@ -65,39 +65,39 @@
 
 /// The network between peers; tests put one in memory in its place.
 #[async_trait]
-pub trait Ask: fmt::Debug + Send + Sync {
+pub trait Transport: fmt::Debug + Send + Sync {
     /// Sends a message and waits for the answer within the limit.
-    async fn ask(
+    async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         limit: Duration,
-    ) -> Result<Bytes, AskError>;
+    ) -> Result<Bytes, PeerError>;
 }
 
 #[async_trait]
-impl Ask for Client {
-    async fn ask(
+impl Transport for Client {
+    async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         limit: Duration,
-    ) -> Result<Bytes, AskError> {
-        Client::ask(self, addr, message, limit).await
+    ) -> Result<Bytes, PeerError> {
+        Client::request(self, addr, message, limit).await
     }
 }
 
 impl Client {
     /// Sends a message and waits for the answer within the limit.
-    pub async fn ask(
+    pub async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         limit: Duration,
-    ) -> Result<Bytes, AskError> {
-        let failed = |cause: String| AskError::new(addr, cause);
+    ) -> Result<Bytes, PeerError> {
+        let failed = |cause: String| PeerError::new(addr, cause);
         let connection = self.connection(addr).map_err(|error| failed(error.to_string()))?;
-        match timeout(limit, connection.ask(&message)).await {
+        match timeout(limit, connection.request(&message)).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) => {
                 self.forget(addr, &connection);
@@ -171,7 +171,7 @@
         Ok(Self { socket, slots: Semaphore::new(PER_PEER) })
     }
 
-    async fn ask(&self, message: &[u8]) -> nng::Result<Bytes> {
+    async fn request(&self, message: &[u8]) -> nng::Result<Bytes> {
         let _slot = self.slots.acquire().await.map_err(|_| nng::Error::Closed)?;
         let mut operation = Operation::new(&self.socket)?;
         operation.send(message).await?;
--- a/components/peer/src/lib.rs
+++ b/components/peer/src/lib.rs
@@ -6,5 +6,5 @@
 mod operation;
 mod server;
 
-pub use client::{Ask, AskError, Client};
+pub use client::{Client, PeerError, Transport};
 pub use server::{Listener, ServeError, listen, serve};
--- a/components/peer/tests/ask.rs
+++ b/components/peer/tests/ask.rs
@@ -31,7 +31,7 @@
         let client = client.clone();
         tokio::spawn(async move {
             let message = Bytes::from(format!("question {i}"));
-            (client.ask(addr, message.clone(), LIMIT).await, message)
+            (client.request(addr, message.clone(), LIMIT).await, message)
         })
     });
     let asks: Vec<_> = asks.collect();
@@ -41,7 +41,7 @@
     }
     assert_eq!(client.connections(), 1);
     let large = Bytes::from(vec![7; 4 << 20]);
-    assert_eq!(client.ask(addr, large.clone(), LIMIT).await, Ok(large));
+    assert_eq!(client.request(addr, large.clone(), LIMIT).await, Ok(large));
     drop(stop);
 }
 
@@ -57,10 +57,10 @@
     let lost: Vec<_> = (0..20)
         .map(|_| {
             let client = client.clone();
-            tokio::spawn(async move { client.ask(silent_addr, Bytes::new(), LIMIT).await })
+            tokio::spawn(async move { client.request(silent_addr, Bytes::new(), LIMIT).await })
         })
         .collect();
-    let answer = client.ask(addr, Bytes::from_static(b"hello"), LIMIT).await;
+    let answer = client.request(addr, Bytes::from_static(b"hello"), LIMIT).await;
     assert_eq!(answer, Ok(Bytes::from_static(b"hello")));
     lost.into_iter().for_each(|ask| ask.abort());
 }
@@ -70,12 +70,12 @@
     let silent = TcpListener::bind(any()).await.expect("a free port");
     let addr = silent.local_addr().expect("it is bound");
     let client = Client::default();
-    assert!(client.ask(addr, Bytes::new(), SHORT).await.is_err());
+    assert!(client.request(addr, Bytes::new(), SHORT).await.is_err());
     assert_eq!(client.connections(), 0);
     drop(silent);
     let (_stop, stopped) = watch::channel(false);
     listen(addr).expect("the port is free again").serve(stopped, echo).expect("it is bound");
-    let answer = client.ask(addr, Bytes::from_static(b"hello"), LIMIT).await;
+    let answer = client.request(addr, Bytes::from_static(b"hello"), LIMIT).await;
     assert_eq!(answer, Ok(Bytes::from_static(b"hello")));
 }
 
@@ -106,10 +106,10 @@
     let proxy = tokio::spawn(pass_on(between, to, silent));
     let client = Client::default();
     let hello = Bytes::from_static(b"hello");
-    assert_eq!(client.ask(addr, hello.clone(), LIMIT).await, Ok(hello.clone()));
+    assert_eq!(client.request(addr, hello.clone(), LIMIT).await, Ok(hello.clone()));
     silence.send_replace(1);
-    assert!(client.ask(addr, hello.clone(), SHORT).await.is_err());
-    assert_eq!(client.ask(addr, hello.clone(), LIMIT).await, Ok(hello));
+    assert!(client.request(addr, hello.clone(), SHORT).await.is_err());
+    assert_eq!(client.request(addr, hello.clone(), LIMIT).await, Ok(hello));
     proxy.abort();
 }
 
@@ -127,11 +127,11 @@
     let addr = server.addr();
     server.serve(stopped, echo).expect("the socket is bound");
     let client = Client::default();
-    assert!(client.ask(addr, Bytes::from_static(b"a"), LIMIT).await.is_ok());
+    assert!(client.request(addr, Bytes::from_static(b"a"), LIMIT).await.is_ok());
     stop.send_replace(true);
     drop(stop);
-    let mut answer = client.ask(addr, Bytes::from_static(b"b"), SHORT).await;
+    let mut answer = client.request(addr, Bytes::from_static(b"b"), SHORT).await;
     while answer.is_ok() {
-        answer = client.ask(addr, Bytes::from_static(b"b"), SHORT).await;
+        answer = client.request(addr, Bytes::from_static(b"b"), SHORT).await;
     }
 }
--- a/components/peer/tests/stop.rs
+++ b/components/peer/tests/stop.rs
@@ -26,7 +26,7 @@
         let server = listen(any).expect("a free port");
         let addr = server.addr();
         server.serve(stopped, echo).expect("the socket is bound");
-        let answer = Client::default().ask(addr, Bytes::from_static(b"1"), LIMIT).await;
+        let answer = Client::default().request(addr, Bytes::from_static(b"1"), LIMIT).await;
         assert_eq!(answer, Ok(Bytes::from_static(b"1")));
         drop(stop);
     });
--- a/components/planner/src/listing.rs
+++ b/components/planner/src/listing.rs
@@ -80,7 +80,7 @@
         let Ok(message) = serde_json::to_vec(&control) else { continue };
         let (network, addr) = (shared.options.network.clone(), member.attach.control);
         tokio::spawn(async move {
-            if let Err(error) = network.ask(addr, Bytes::from(message), TELL_LIMIT).await {
+            if let Err(error) = network.request(addr, Bytes::from(message), TELL_LIMIT).await {
                 log::debug!("planner: {error}");
             }
         });
--- a/components/planner/src/probe.rs
+++ b/components/planner/src/probe.rs
@@ -21,7 +21,7 @@
         tick: shared.recorder.clock().tick(),
     };
     let Ok(message) = serde_json::to_vec(&heartbeat) else { return false };
-    let answer = shared.options.network.ask(control, Bytes::from(message), LIMIT).await;
+    let answer = shared.options.network.request(control, Bytes::from(message), LIMIT).await;
     let reply = answer.ok().and_then(|bytes| serde_json::from_slice(&bytes).ok());
     match reply {
         Some(Reply::Position { from: Some(from), .. }) => from == *instance,
--- a/components/planner/src/run.rs
+++ b/components/planner/src/run.rs
@@ -5,7 +5,7 @@
 
 use edge::InstanceList;
 use journal::Journal;
-use peer::{Ask, Client};
+use peer::{Client, Transport};
 use policy::Calendar;
 use record::Body;
 use state::State;
@@ -38,7 +38,7 @@
     /// Turns true when the process shuts down: the planner then gives its lease up and ends.
     pub stop: Option<watch::Receiver<bool>>,
     /// The network to the agents, which are asked before they are taken for gone.
-    pub network: Arc<dyn Ask>,
+    pub network: Arc<dyn Transport>,
 }
 
 impl Default for Options {
--- a/components/state/examples/fold-bench.rs
+++ b/components/state/examples/fold-bench.rs
@@ -5,7 +5,9 @@
 
 use std::time::{Duration, Instant};
 
-use record::{Attach, Body, MAX_CACHED_CHECKPOINTS, Decision, GrantId, Record, RECORD_WINDOW_OFFSETS};
+use record::{
+    Attach, Body, Decision, GrantId, MAX_CACHED_CHECKPOINTS, RECORD_WINDOW_OFFSETS, Record,
+};
 use sample::{add, id, set};
 use serde_json::json;
 use state::{State, chunks, from_text, to_text};
@@ -104,8 +106,9 @@
 fn attach(number: usize) -> Body {
     let addr = format!("10.{}.{}.{}:7001", number / 62500, number / 250 % 250, number % 250 + 1);
     let addr = addr.parse().expect("an address");
-    let cached =
-        (0..MAX_CACHED_CHECKPOINTS).map(|n| id(&format!("model-{:03}@v1", (number + n * 29) % 230))).collect();
+    let cached = (0..MAX_CACHED_CHECKPOINTS)
+        .map(|n| id(&format!("model-{:03}@v1", (number + n * 29) % 230)))
+        .collect();
     Body::Attach(Attach {
         instance: id(&format!("assist-{number:04}-5f3a")),
         domain: id(&format!("domain-{}", number % 8)),
@@ -178,7 +181,10 @@
         edit(base, format!("queue-{number}"), vec![set(&path, "queue", json!(number + 1))])
     };
     bench.measure("edit of one setting", (0..scale.models).map(queue).collect());
-    bench.measure("renew, to fill the window", vec![Body::Renew { epoch }; RECORD_WINDOW_OFFSETS as usize]);
+    bench.measure(
+        "renew, to fill the window",
+        vec![Body::Renew { epoch }; RECORD_WINDOW_OFFSETS as usize],
+    );
 }
 
 fn shortest<T>(mut work: impl FnMut() -> T) -> Duration {
--- a/components/state/src/rules.rs
+++ b/components/state/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules by which records change the state.
 
-use record::{Attach, Body, MAX_CACHED_CHECKPOINTS, Decision, GrantId, Record};
+use record::{Attach, Body, Decision, GrantId, MAX_CACHED_CHECKPOINTS, Record};
 use tree::Edit;
 use units::{EndpointId, Epoch, Incarnation, InstanceId, Offset, Revision};
 
@@ -20,7 +20,7 @@
             return self.freeze(offset, record.needs);
         }
         self.advance(offset);
-        if record.needs < record.body.since() {
+        if record.needs < record.body.format_version() {
             let cause = format!("format {} has no such kind", record.needs);
             return Applied::void(offset, Void::Malformed(cause));
         }
--- a/components/state/tests/repeats.rs
+++ b/components/state/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, attach, claim, decide, gone, id, void};
-use record::{Body, FORMAT_VERSION, Record, RECORD_WINDOW_OFFSETS};
+use record::{Body, FORMAT_VERSION, RECORD_WINDOW_OFFSETS, Record};
 use rstest::rstest;
 use state::{Applied, State, Verdict, Void};
 use units::{Epoch, Offset};
--- a/components/wire/src/dispatch.rs
+++ b/components/wire/src/dispatch.rs
@@ -114,8 +114,9 @@
 }
 
 fn take<T: DeserializeOwned>(name: &'static str, headers: &HeaderMap) -> Result<T, InvalidHeader> {
-    let value =
-        headers.get(name).ok_or_else(|| InvalidHeader { name, cause: "it is missing".to_owned() })?;
+    let value = headers
+        .get(name)
+        .ok_or_else(|| InvalidHeader { name, cause: "it is missing".to_owned() })?;
     serde_json::from_slice(value.as_bytes())
         .map_err(|error| InvalidHeader { name, cause: error.to_string() })
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -12,8 +12,8 @@
 
 pub use control::{Control, Demand, Reply};
 pub use dispatch::{
-    DISPATCH_PATH, Dispatch, ResponseEnd, InvalidHeader, RESUME_PATH, Report, Resume, parse_end_trailers, end_trailers,
-    refusal_response,
+    DISPATCH_PATH, Dispatch, InvalidHeader, RESUME_PATH, Report, ResponseEnd, Resume, end_trailers,
+    parse_end_trailers, refusal_response,
 };
 pub use outcome::{Outcome, Refusal, UnknownCause};
 pub use prefixes::{PrefixChange, PrefixList, PrefixUpdate};
