--- a/components/process/src/admin.rs
+++ b/components/process/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin server: health, metrics, time line and status.
+//! The admin server: health, metrics, timeline of events, and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use timeline::Recorder;
 use web::Body;
 
-/// Makes the JSON of `/status` on demand.
+/// Computes the JSON that `/status` answers with.
 pub type StatusProvider = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
 
 #[derive(Clone)]
@@ -20,7 +20,7 @@
 }
 
 impl Admin {
-    pub(crate) async fn answer(
+    pub(crate) async fn respond(
         self,
         request: Request<Incoming>,
         _peer: SocketAddr,
--- a/components/process/src/args.rs
+++ b/components/process/src/args.rs
@@ -1,37 +1,37 @@
-//! The command line that every server program has.
+//! The command line that all server programs share.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// What a server program was asked to do.
+/// The action that the command line of a server program asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Args {
-    /// Show the help text.
+    /// Print the help text.
     Help,
-    /// Show the version.
+    /// Print the version.
     Version,
-    /// Read the settings file, say whether it is right, and end.
+    /// Read the settings file, report whether it is valid, and exit.
     Check(PathBuf),
     /// Run with the settings file.
     Run(PathBuf),
 }
 
-/// What is wrong with a command line.
+/// Why a command line was rejected.
 #[derive(Debug, Error)]
 pub enum ArgsError {
-    /// No settings file is named.
+    /// The command line names no settings file.
     #[error("no settings file; name one, as in `{program} settings.jsonc`")]
     Missing {
-        /// The program.
+        /// The name of the program.
         program: String,
     },
-    /// A flag or value is not known.
+    /// A flag or value is unknown.
     #[error("{0}; `--help` lists what there is")]
     Unknown(#[from] lexopt::Error),
 }
 
-/// Reads `[--check-config] FILE`, `--help` or `--version`; the first word is the program's name.
+/// Parses `[--check-config] FILE`, `--help` or `--version`; the first word is the program's name.
 pub fn parse_args<I>(words: I) -> Result<Args, ArgsError>
 where
     I: IntoIterator,
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -1,8 +1,8 @@
-//! What every process shares: settings files, logs, signals and the admin server.
+//! What the programs share: command line, settings files, logs, signals, metrics and the admin server.
 
 mod admin;
 mod args;
-mod metered;
+mod metrics_server;
 mod reload;
 mod settings;
 mod shutdown;
@@ -11,7 +11,7 @@
 
 pub use admin::StatusProvider;
 pub use args::{Args, ArgsError, parse_args};
-pub use metered::serve_metrics;
+pub use metrics_server::serve_metrics;
 pub use settings::{Identity, SettingsError, load_settings, parse_settings};
 pub use shutdown::{Shutdown, ShutdownPhase};
 pub use stall::StallDetector;
--- a/components/process/src/reload.rs
+++ b/components/process/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again, on SIGHUP or when it has changed.
+//! Reloads the settings file on SIGHUP or when the file has changed.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,41 +11,42 @@
 
 use crate::load_settings;
 
-/// How often the file is looked at: it may change without a signal.
-const PACE: Duration = Duration::from_secs(5);
+/// The pause between two checks of the file's modification time: the file may change without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows the settings file for as long as somebody reads the settings. A file that can't be read changes nothing.
+/// Reloads the settings file until every receiver of the settings is dropped. A file that can't be read or is invalid
+/// leaves the settings as they are.
 pub(crate) async fn follow<T: DeserializeOwned>(
     file: PathBuf,
     settings: watch::Sender<Arc<T>>,
 ) -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
-    let mut seen = changed(&file);
+    let mut last_modified = modified_at(&file);
     loop {
-        let asked = tokio::select! {
+        let requested = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(PACE) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
             () = settings.closed() => return Ok(()),
         };
-        let now = changed(&file);
-        if asked || now != seen {
-            seen = now;
-            read(&file, &settings);
+        let modified = modified_at(&file);
+        if requested || modified != last_modified {
+            last_modified = modified;
+            reload(&file, &settings);
         }
     }
 }
 
-fn read<T: DeserializeOwned>(file: &Path, settings: &watch::Sender<Arc<T>>) {
+fn reload<T: DeserializeOwned>(file: &Path, settings: &watch::Sender<Arc<T>>) {
     match load_settings(file) {
-        Ok(fresh) => {
-            settings.send_replace(Arc::new(fresh));
+        Ok(reloaded) => {
+            settings.send_replace(Arc::new(reloaded));
             emit(&Event::Reloaded { outcome: "taken" });
         }
         Err(error) => emit(&Event::Reloaded { outcome: &error.to_string() }),
     }
 }
 
-fn changed(file: &Path) -> Option<SystemTime> {
+fn modified_at(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|data| data.modified()).ok()
 }
 
--- a/components/process/src/reload/tests.rs
+++ b/components/process/src/reload/tests.rs
@@ -1,24 +1,24 @@
-//! Tests of reading the settings file again.
+//! Tests of reloading the settings file.
 
 use super::*;
 
 #[test]
-fn takes_a_file_that_can_be_read() {
+fn a_valid_file_replaces_the_settings() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("settings.jsonc");
     std::fs::write(&file, "// comment\n2").expect("written");
-    let (settings, seen) = watch::channel(Arc::new(1_u32));
-    read(&file, &settings);
-    assert_eq!(**seen.borrow(), 2);
+    let (settings, current) = watch::channel(Arc::new(1_u32));
+    reload(&file, &settings);
+    assert_eq!(**current.borrow(), 2);
 }
 
 #[test]
-fn keeps_the_settings_if_the_file_is_wrong_or_gone() {
+fn a_missing_or_invalid_file_leaves_the_settings_as_they_are() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("settings.jsonc");
-    let (settings, seen) = watch::channel(Arc::new(1_u32));
-    read(&file, &settings);
+    let (settings, current) = watch::channel(Arc::new(1_u32));
+    reload(&file, &settings);
     std::fs::write(&file, "{ half").expect("written");
-    read(&file, &settings);
-    assert_eq!(**seen.borrow(), 1);
+    reload(&file, &settings);
+    assert_eq!(**current.borrow(), 1);
 }
--- a/components/process/src/settings.rs
+++ b/components/process/src/settings.rs
@@ -1,4 +1,4 @@
-//! Strict reading of settings files: JSON with comments, every key known.
+//! Strict parsing of settings files: JSON with comments, where an unknown key is an error.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use units::{Domain, InstanceId};
 
-/// Why a settings file was refused; names file, place and mend.
+/// Why a settings file was rejected; the message names the file, the place in it, and how to correct it.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -17,30 +17,30 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not JSON with comments.
+    /// The file is not valid JSON with comments.
     #[error("{}: {cause}", file.display())]
     Syntax {
         /// The file.
         file: PathBuf,
-        /// What is wrong, with line and column.
+        /// The syntax error, with line and column.
         cause: String,
     },
-    /// A key or value is wrong.
+    /// A key is unknown or missing, or a value is invalid.
     #[error("{}: at `{key}`: {cause}", file.display())]
     Value {
         /// The file.
         file: PathBuf,
         /// The path of the key.
         key: String,
-        /// What would be right.
+        /// What is invalid, and what is expected.
         cause: String,
     },
 }
 
-/// Who a process is and where it is managed.
+/// The settings that identify a process, and the address of its admin server.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
@@ -48,9 +48,9 @@
     pub instance: InstanceId,
     /// The failure domain of the instance.
     pub domain: Domain,
-    /// The address of the admin server (health, metrics, time line, status).
+    /// The address of the admin server (health, metrics, timeline, status).
     pub admin: SocketAddr,
-    /// The least severe log lines to print: `error`, `warn`, `info` or `debug`.
+    /// The lowest severity of log lines to print: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_log")]
     pub log: LogLevel,
 }
@@ -59,17 +59,17 @@
     LogLevel::Info
 }
 
-/// The least severe log lines to print.
+/// The lowest severity of log lines to print.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Faults that need somebody.
+    /// Faults that need an operator.
     Error,
-    /// Faults that mend themselves.
+    /// Faults from which the process recovers by itself.
     Warn,
     /// Changes of state.
     Info,
-    /// Single requests.
+    /// Details of single requests.
     Debug,
 }
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 pub fn load_settings<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file)
         .map_err(|cause| SettingsError::Unreadable { file: file.to_owned(), cause })?;
     parse_settings(file, &text)
 }
 
-/// Reads the text of a settings file; `file` only appears in errors.
+/// Parses the text of a settings file; `file` appears only in errors.
 pub fn parse_settings<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
     let file = file.to_owned();
     let value: serde_json::Value = match jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS) {
--- a/components/process/src/shutdown.rs
+++ b/components/process/src/shutdown.rs
@@ -1,33 +1,33 @@
-//! Graceful shutdown on the first signal, a faster one on the second.
+//! Graceful shutdown on the first signal, forced shutdown on the second.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// How far a shutdown has come.
+/// The phase of a process's shutdown, in the order in which they follow each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Running.
+    /// The process runs; no shutdown was requested.
     Run,
-    /// The first signal: take no new work, finish what is in flight.
+    /// After the first signal: accept no new work and finish the requests in flight.
     Drain,
-    /// The second signal: end what is in flight with true outcomes, now.
+    /// After the second signal: end the requests in flight at once, each with an outcome that is true.
     Force,
 }
 
-/// Tells the tasks of a process how far its shutdown has come; cheap to clone.
+/// Tells the tasks of a process which phase its shutdown has reached; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct Shutdown {
     phase: watch::Receiver<ShutdownPhase>,
 }
 
 impl Shutdown {
-    /// A shutdown driven by a sender, for tests and for roles within a process.
+    /// A shutdown whose phase is set through the returned sender, for tests and for roles within a process.
     pub fn manual() -> (watch::Sender<ShutdownPhase>, Self) {
         let (sender, phase) = watch::channel(ShutdownPhase::Run);
         (sender, Self { phase })
     }
 
-    /// A shutdown driven by SIGTERM and SIGINT.
+    /// A shutdown that SIGTERM and SIGINT advance.
     pub fn on_signals() -> std::io::Result<Self> {
         let mut term = signal(SignalKind::terminate())?;
         let mut int = signal(SignalKind::interrupt())?;
@@ -47,18 +47,18 @@
         Ok(shutdown)
     }
 
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> ShutdownPhase {
         *self.phase.borrow()
     }
 
-    /// Waits until the shutdown has come this far; a dropped sender counts as `Force`.
+    /// Waits until the shutdown has reached this phase or a later one; a dropped sender counts as `Force`.
     pub async fn reached(&self, phase: ShutdownPhase) {
-        let mut seen = self.phase.clone();
-        let _ = seen.wait_for(|now| *now >= phase).await;
+        let mut current = self.phase.clone();
+        let _ = current.wait_for(|current| *current >= phase).await;
     }
 
-    /// A signal for servers: true once the shutdown has come this far.
+    /// A stop signal for servers: turns true once the shutdown has reached this phase.
     pub fn flag(&self, phase: ShutdownPhase) -> watch::Receiver<bool> {
         let (sender, flag) = watch::channel(false);
         let shutdown = self.clone();
--- a/components/process/src/stall.rs
+++ b/components/process/src/stall.rs
@@ -1,7 +1,8 @@
-//! Notices that the machine stood still.
+//! Detects that the machine was suspended or frozen for a while.
 //!
-//! After a suspension or a freeze, what arrived meanwhile is there all at once: requests, and the ends of their
-//! connections. Whoever acts at once acts on news of another time.
+//! When the machine runs again, everything that arrived during the stall becomes readable at once: requests, and the
+//! closing of the connections that carried them. A task that acts before all of it has been read acts on outdated
+//! information.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -9,72 +10,73 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Between beats.
-const BEAT: Duration = Duration::from_millis(100);
-/// A beat this late means that the machine stood still; a busy one is late by less.
-const STILL: Duration = Duration::from_millis(400);
-/// How long it takes to read what arrived meanwhile.
-const SETTLE: Duration = Duration::from_millis(40);
+/// The pause between two readings of the clocks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Two readings that are further apart than this mean that the machine stalled; on a busy machine the delay is shorter.
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
+/// How long it takes to read what arrived during a stall.
+const CATCH_UP_TIME: Duration = Duration::from_millis(40);
 
-/// The last beat, on the clock that stops with the machine and on the one that does not.
+/// A reading of two clocks: the monotonic clock stops while the machine is suspended, the boot-time clock does not.
 #[derive(Debug, Clone, Copy)]
-struct Beat {
-    steady: Instant,
-    whole: Duration,
+struct ClockReading {
+    monotonic: Instant,
+    boot_time: Duration,
 }
 
-impl Beat {
+impl ClockReading {
     fn now() -> Self {
-        let whole = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default();
-        Self { steady: Instant::now(), whole }
+        let boot_time =
+            clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default();
+        Self { monotonic: Instant::now(), boot_time }
     }
 
-    /// The longer of the times that have passed on the two clocks.
+    /// The time since an earlier reading, by the clock that advanced further.
     fn since(self, earlier: Self) -> Duration {
-        (self.steady - earlier.steady).max(self.whole.saturating_sub(earlier.whole))
+        (self.monotonic - earlier.monotonic).max(self.boot_time.saturating_sub(earlier.boot_time))
     }
 }
 
-/// Beats while the machine runs.
+/// Detects stalls of the machine by reading its clocks at short intervals.
 #[derive(Debug)]
 pub struct StallDetector {
-    last: Mutex<Beat>,
-    until: Mutex<Option<Instant>>,
+    last_reading: Mutex<ClockReading>,
+    catch_up_until: Mutex<Option<Instant>>,
 }
 
 impl Default for StallDetector {
     fn default() -> Self {
-        Self { last: Mutex::new(Beat::now()), until: Mutex::new(None) }
+        Self { last_reading: Mutex::new(ClockReading::now()), catch_up_until: Mutex::new(None) }
     }
 }
 
 impl StallDetector {
-    /// Beats for good.
+    /// Reads the clocks at intervals; never returns.
     pub async fn run(&self) {
         loop {
-            tokio::time::sleep(BEAT).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             self.check();
         }
     }
 
-    /// Waits, if the machine stood still just now, until what arrived meanwhile has been read.
+    /// After a stall, waits until what arrived during the stall has been read; otherwise returns at once.
     pub async fn wait_after_stall(&self) {
         self.check();
-        let until = *self.until.lock().unwrap_or_else(PoisonError::into_inner);
+        let until = *self.catch_up_until.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(until) = until.filter(|until| *until > Instant::now()) {
             tokio::time::sleep_until(until).await;
         }
     }
 
     fn check(&self) {
-        self.take(Beat::now());
+        self.record(ClockReading::now());
     }
 
-    fn take(&self, now: Beat) {
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        if now.since(*last) > STILL {
-            let mut until = self.until.lock().unwrap_or_else(PoisonError::into_inner);
-            *until = Some(now.steady + SETTLE);
+    fn record(&self, now: ClockReading) {
+        let mut last = self.last_reading.lock().unwrap_or_else(PoisonError::into_inner);
+        if now.since(*last) > STALL_THRESHOLD {
+            let mut until = self.catch_up_until.lock().unwrap_or_else(PoisonError::into_inner);
+            *until = Some(now.monotonic + CATCH_UP_TIME);
         }
         *last = now;
     }
--- a/components/process/src/stall/tests.rs
+++ b/components/process/src/stall/tests.rs
@@ -1,33 +1,33 @@
-//! Tests of the stall_detector.
+//! Tests of the stall detector.
 
 use super::*;
 
-async fn settled(stall_detector: &StallDetector) -> Duration {
+async fn time_waited(stall_detector: &StallDetector) -> Duration {
     let before = Instant::now();
     stall_detector.wait_after_stall().await;
     before.elapsed()
 }
 
 #[tokio::test(start_paused = true)]
-async fn does_not_wait_while_the_machine_runs() {
+async fn does_not_wait_without_a_stall() {
     let stall_detector = StallDetector::default();
-    tokio::time::advance(BEAT).await;
-    assert_eq!(settled(&stall_detector).await, Duration::ZERO);
+    tokio::time::advance(CHECK_INTERVAL).await;
+    assert_eq!(time_waited(&stall_detector).await, Duration::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
-async fn waits_after_the_machine_stood_still() {
+async fn waits_once_after_a_stall() {
     let stall_detector = StallDetector::default();
     tokio::time::advance(Duration::from_secs(7)).await;
-    assert!(settled(&stall_detector).await >= SETTLE);
-    assert_eq!(settled(&stall_detector).await, Duration::ZERO);
+    assert!(time_waited(&stall_detector).await >= CATCH_UP_TIME);
+    assert_eq!(time_waited(&stall_detector).await, Duration::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
-async fn waits_after_a_suspension_that_the_steady_clock_does_not_count() {
+async fn waits_after_a_suspension_that_the_monotonic_clock_does_not_count() {
     let stall_detector = StallDetector::default();
-    let mut beat = Beat::now();
-    beat.whole += Duration::from_secs(7);
-    stall_detector.take(beat);
-    assert!(settled(&stall_detector).await >= SETTLE);
+    let mut reading = ClockReading::now();
+    reading.boot_time += Duration::from_secs(7);
+    stall_detector.record(reading);
+    assert!(time_waited(&stall_detector).await >= CATCH_UP_TIME);
 }
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting a process: arguments, logs, metrics, signals, admin server.
+//! Starts a program: arguments, logs, metrics, signals and admin server.
 
 use std::future::Future;
 use std::num::NonZero;
@@ -24,27 +24,28 @@
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
-/// The exit code of a wrong command line or settings file.
+/// The exit code of a process whose command line or settings file is invalid.
 pub const EXIT_USAGE: u8 = 2;
 
-/// What a running process shares with its tasks.
+/// What a multi-threaded program shares with its tasks.
 #[derive(Debug, Clone)]
 pub struct Process {
-    /// Who it is.
+    /// The identity of the process.
     pub identity: Identity,
-    /// Its events.
+    /// The recorder of the process's events.
     pub recorder: Recorder,
-    /// Its shutdown.
+    /// The shutdown of the process.
     pub shutdown: Shutdown,
     metrics: PrometheusHandle,
 }
 
-/// How many threads run a process's tasks.
+/// The number of worker threads that run a process's tasks.
 #[derive(Debug, Clone, Copy)]
 pub enum Workers {
-    /// As many as the machine has cores.
+    /// One thread per core of the machine.
     Cores,
-    /// No more than these, so that what a process takes does not depend on the cores of its machine.
+    /// One thread per core, but no more than this many, so that the memory and CPU time that a process uses do not depend
+    /// on the number of cores.
     AtMost(usize),
 }
 
@@ -53,35 +54,35 @@
         let cores = std::thread::available_parallelism().map_or(1, NonZero::get);
         match self {
             Self::Cores => cores,
-            Self::AtMost(most) => cores.min(most).max(1),
+            Self::AtMost(limit) => cores.min(limit).max(1),
         }
     }
 }
 
-/// Why a process could not start or had to end.
+/// Why a process could not start or had to stop.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct StartError(Box<dyn std::error::Error + Send + Sync>);
 
 impl StartError {
-    /// Wraps the cause.
+    /// Wraps the cause of the failure.
     pub fn new(cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self(cause.into())
     }
 }
 
-/// What a process of one thread shares with its tasks.
+/// What a single-threaded program shares with its tasks.
 #[derive(Debug, Clone)]
 pub struct SingleThreadProcess<T> {
-    /// Its settings, read again when the file changes; addresses take effect at a start only.
+    /// The settings, reloaded when the file changes; a changed address takes effect only at the next start.
     pub settings: watch::Receiver<Arc<T>>,
-    /// Notices that the machine stood still.
+    /// Detects that the machine was suspended or frozen.
     pub stall_detector: Arc<StallDetector>,
-    /// Its shutdown.
+    /// The shutdown of the process.
     pub shutdown: Shutdown,
 }
 
-/// Runs a program on one thread: small machines have one core and pay for memory.
+/// Runs a program on one thread, because small machines have one core and threads cost memory.
 pub fn run_single_threaded<T, B, F>(about: &str, instance: fn(&T) -> &str, body: B) -> ExitCode
 where
     T: DeserializeOwned + Send + Sync + 'static,
@@ -93,7 +94,7 @@
             Ok(runtime) => runtime,
             Err(error) => return failure(&error),
         };
-        let ended = runtime.block_on(async {
+        let result = runtime.block_on(async {
             let program = about.split(':').next().unwrap_or(about);
             events::install(instance(&settings)).map_err(StartError::new)?;
             let shutdown = Shutdown::on_signals().map_err(StartError::new)?;
@@ -101,18 +102,18 @@
             let (sender, settings) = watch::channel(Arc::new(settings));
             tokio::spawn(reload::follow(file, sender));
             let stall_detector = Arc::new(StallDetector::default());
-            let beating = stall_detector.clone();
-            tokio::spawn(async move { beating.run().await });
+            let detector = stall_detector.clone();
+            tokio::spawn(async move { detector.run().await });
             body(SingleThreadProcess { settings, stall_detector, shutdown }).await
         });
-        match ended {
+        match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => failure(&error),
         }
     })
 }
 
-/// Runs a server program: reads its arguments and settings file, starts the runtime and the body.
+/// Runs a multi-threaded server program: reads its arguments and settings file, starts the runtime, and runs the body.
 pub fn run<T, B, F>(
     about: &str,
     workers: Workers,
@@ -127,8 +128,11 @@
     launch(about, |settings: T, _| serve(settings, workers, identity, body))
 }
 
-/// Reads the arguments and the settings file, and starts the rest.
-fn launch<T: DeserializeOwned>(about: &str, rest: impl FnOnce(T, PathBuf) -> ExitCode) -> ExitCode {
+/// Reads the arguments and the settings file, then calls `start` with the settings; other actions end here.
+fn launch<T: DeserializeOwned>(
+    about: &str,
+    start: impl FnOnce(T, PathBuf) -> ExitCode,
+) -> ExitCode {
     let file = match parse_args(std::env::args_os()) {
         Ok(Args::Help) => {
             println!(
@@ -148,7 +152,7 @@
         Ok(settings) => settings,
         Err(error) => return usage(&error),
     };
-    rest(settings, file)
+    start(settings, file)
 }
 
 fn serve<T, B, F>(settings: T, workers: Workers, identity: fn(&T) -> &Identity, body: B) -> ExitCode
@@ -156,21 +160,21 @@
     B: FnOnce(T, Process) -> F,
     F: Future<Output = Result<(), StartError>>,
 {
-    let who = identity(&settings).clone();
-    init_logs(&who);
+    let identity = identity(&settings).clone();
+    init_logs(&identity);
     let runtime = match runtime(workers) {
         Ok(runtime) => runtime,
         Err(error) => return failure(&error),
     };
-    let ended = runtime.block_on(async {
-        let process = Process::start(who)?;
+    let result = runtime.block_on(async {
+        let process = Process::start(identity)?;
         let recorder = process.recorder.clone();
         recorder.record(recorder.event(Kind::Started));
-        let ended = body(settings, process).await;
+        let result = body(settings, process).await;
         recorder.record(recorder.event(Kind::Stopped));
-        ended
+        result
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => failure(&error),
     }
@@ -186,18 +190,18 @@
         let recorder = Recorder::new(identity.instance.clone());
         let shutdown = Shutdown::on_signals().map_err(StartError::new)?;
         let metrics = PrometheusBuilder::new().install_recorder().map_err(StartError::new)?;
-        let stopping = (recorder.clone(), shutdown.clone());
+        let for_task = (recorder.clone(), shutdown.clone());
         tokio::spawn(async move {
-            let (recorder, shutdown) = stopping;
+            let (recorder, shutdown) = for_task;
             shutdown.reached(ShutdownPhase::Drain).await;
-            log::info!("process: stopping after the work in flight");
+            log::info!("process: shutting down after the work in flight has finished");
             recorder.record(recorder.event(Kind::Stopping));
         });
         Ok(Self { identity, recorder, shutdown, metrics })
     }
 }
 
-/// Binds and starts the admin server, which lives until the runtime ends, so that a drain can be watched.
+/// Binds and starts the admin server, which runs until the runtime stops, so that a drain can be observed.
 pub async fn spawn_admin(
     process: &Process,
     status: StatusProvider,
@@ -205,11 +209,11 @@
     let listener = web::bind(process.identity.admin).await.map_err(StartError::new)?;
     let admin =
         Admin { metrics: process.metrics.clone(), recorder: process.recorder.clone(), status };
-    let (keep, never) = tokio::sync::watch::channel(false);
+    let (stop_sender, stop) = tokio::sync::watch::channel(false);
     Ok(tokio::spawn(async move {
-        let handler = move |request, peer| admin.clone().answer(request, peer);
-        web::serve(listener, web::ServeOptions::default(), never, handler).await;
-        drop(keep);
+        let handler = move |request, peer| admin.clone().respond(request, peer);
+        web::serve(listener, web::ServeOptions::default(), stop, handler).await;
+        drop(stop_sender);
     }))
 }
 
@@ -243,6 +247,6 @@
     let started =
         TermLogger::init(identity.log.into(), config, TerminalMode::Stderr, ColorChoice::Never);
     if started.is_err() {
-        eprintln!("process: the logger is set already");
+        eprintln!("process: the logger is already initialized");
     }
 }
