--- a/components/web/src/body.rs
+++ b/components/web/src/body.rs
@@ -7,34 +7,34 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A body of either direction; an error ends it early, which the other side sees.
+/// A body of a request or a response; an error in it ends the body early, and the other side can tell.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Why a body could not be read whole.
+/// Why a body could not be read completely.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the body is over {limit} bytes; send less")]
     TooLarge {
-        /// The most bytes allowed.
+        /// The largest size allowed, in bytes.
         limit: usize,
     },
-    /// The connection ended within it.
+    /// The connection ended before the body did.
     #[error("the body ended early: {0}")]
     Truncated(String),
 }
 
-/// A body of no bytes.
+/// An empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body whose bytes are all here.
+/// A body whose bytes are all known.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A response of plain text.
+/// A plain-text response.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
@@ -43,7 +43,7 @@
     response
 }
 
-/// A response of JSON; a value that can't be written becomes a 500.
+/// A JSON response; a value that can't be serialized yields status 500.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = match serde_json::to_vec(value) {
         Ok(bytes) => bytes,
@@ -56,7 +56,7 @@
     response
 }
 
-/// Reads a body whole, up to a limit in bytes.
+/// Reads a complete body, up to a limit in bytes.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: http_body_util::BodyExt<Data = Bytes>,
--- a/components/web/src/channel.rs
+++ b/components/web/src/channel.rs
@@ -1,4 +1,4 @@
-//! A body that a task writes.
+//! A response body that a task writes piece by piece.
 
 use std::io;
 use std::pin::Pin;
@@ -12,52 +12,53 @@
 
 use crate::Body;
 
-/// How many pieces a streamed body holds before its writer waits.
-const PIECES: usize = 16;
+/// How many chunks a streamed body buffers before its writer has to wait.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// Nobody reads the body any more.
+/// The body was dropped, so nobody reads it any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the reader of the body is gone")]
 pub struct Closed;
 
-/// Writes a body; one that is dropped without [`BodyWriter::finish`] cuts it, so that a part never looks whole.
+/// Writes a body. Dropping the writer without [`BodyWriter::finish`] aborts the body, so that the reader never takes a
+/// partial body for a complete one.
 #[derive(Debug)]
-pub struct BodyWriter(mpsc::Sender<Piece>);
+pub struct BodyWriter(mpsc::Sender<Chunk>);
 
 #[derive(Debug)]
-enum Piece {
+enum Chunk {
     Data(Bytes),
-    Cut(io::Error),
+    Aborted(io::Error),
     End,
 }
 
-struct Reader(mpsc::Receiver<Piece>);
+struct Reader(mpsc::Receiver<Chunk>);
 
-/// A body and the writer of it.
+/// Creates a body and the writer that fills it.
 pub fn channel() -> (BodyWriter, Body) {
-    let (sender, receiver) = mpsc::channel(PIECES);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     (BodyWriter(sender), Reader(receiver).boxed_unsync())
 }
 
 impl BodyWriter {
-    /// Writes a piece; waits while the reader lags.
+    /// Writes a chunk; waits while the buffer is full.
     pub async fn send(&self, data: Bytes) -> Result<(), Closed> {
-        self.0.send(Piece::Data(data)).await.map_err(|_| Closed)
+        self.0.send(Chunk::Data(data)).await.map_err(|_| Closed)
     }
 
-    /// Waits until nobody reads the body any more.
+    /// Waits until the body is dropped, so that nobody reads it any more.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 
-    /// Ends the body; what was written is whole.
+    /// Ends the body, which is complete.
     pub async fn finish(self) -> Result<(), Closed> {
-        self.0.send(Piece::End).await.map_err(|_| Closed)
+        self.0.send(Chunk::End).await.map_err(|_| Closed)
     }
 
-    /// Cuts the body with an error that the reader sees.
+    /// Aborts the body with an error, which the reader receives.
     pub async fn abort(self, error: io::Error) {
-        let _ = self.0.send(Piece::Cut(error)).await;
+        let _ = self.0.send(Chunk::Aborted(error)).await;
     }
 }
 
@@ -69,11 +70,11 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let piece = ready!(self.0.poll_recv(cx));
-        Poll::Ready(match piece {
-            Some(Piece::Data(data)) => Some(Ok(Frame::data(data))),
-            Some(Piece::Cut(error)) => Some(Err(error)),
-            Some(Piece::End) => None,
+        let chunk = ready!(self.0.poll_recv(cx));
+        Poll::Ready(match chunk {
+            Some(Chunk::Data(data)) => Some(Ok(Frame::data(data))),
+            Some(Chunk::Aborted(error)) => Some(Err(error)),
+            Some(Chunk::End) => None,
             None => Some(Err(io::Error::other("the writer of the body is gone"))),
         })
     }
--- a/components/web/src/client.rs
+++ b/components/web/src/client.rs
@@ -1,4 +1,4 @@
-//! A pooled HTTP/1.1 client for control calls with a timeout on each.
+//! A pooled HTTP/1.1 client for control calls, each of which has a timeout.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,55 +14,55 @@
 
 use crate::{Body, body};
 
-/// Largest answer that a control call takes, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// The largest response that a control call accepts, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Idle connections are closed after this time, before something between the ends forgets them.
-const IDLE: Duration = Duration::from_secs(5);
+/// Idle connections are closed after this time, before a middlebox between client and server drops its state of them.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection could be made, so the call did not arrive.
+    /// No connection could be established, so the call was not delivered.
     #[error("cannot connect to {addr}: {cause}; check that it is up and the address is right")]
     Connect {
-        /// The address dialled.
+        /// The address of the server.
         addr: SocketAddr,
-        /// What the transport said.
+        /// The transport's error.
         cause: String,
     },
-    /// No answer in time; the call may have taken effect.
+    /// No response arrived in time; the call may have taken effect.
     #[error("no answer from {addr} within {limit:?}")]
     Timeout {
-        /// The address called.
+        /// The address of the server.
         addr: SocketAddr,
-        /// How long the call waited.
+        /// The timeout of the call.
         limit: Duration,
     },
     /// The connection failed after the call was sent; the call may have taken effect.
     #[error("the connection to {addr} failed: {cause}")]
     Interrupted {
-        /// The address called.
+        /// The address of the server.
         addr: SocketAddr,
-        /// What the transport said.
+        /// The transport's error.
         cause: String,
     },
-    /// The other side refused.
+    /// The server answered with an error status.
     #[error("{addr} answered {status}: {text}")]
     Status {
-        /// The address called.
+        /// The address of the server.
         addr: SocketAddr,
-        /// The status of the answer.
+        /// The status of the response.
         status: StatusCode,
-        /// The answer's body.
+        /// The body of the response.
         text: String,
     },
-    /// The answer is not what was expected.
+    /// The response is not what was expected.
     #[error("{addr} answered something unexpected: {cause}")]
     InvalidResponse {
-        /// The address called.
+        /// The address of the server.
         addr: SocketAddr,
-        /// What is wrong with it.
+        /// What is invalid about the response.
         cause: String,
     },
 }
@@ -79,7 +79,7 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -88,7 +88,7 @@
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer, whatever its status, within the limit.
+    /// Sends a request and reads the complete response, whatever its status, within the timeout `limit`.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -99,29 +99,29 @@
         Ok((status, bytes))
     }
 
-    /// The same, with the headers of the answer.
+    /// Like [`Client::call`], and also returns the headers of the response.
     pub async fn call_with_headers(
         &self,
         addr: SocketAddr,
         request: Request<Body>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes, HeaderMap), CallError> {
-        let exchange = async {
+        let call = async {
             let response =
-                self.inner.request(request).await.map_err(|error| fault(addr, &error))?;
+                self.inner.request(request).await.map_err(|error| transport_error(addr, &error))?;
             let (head, body) = response.into_parts();
-            let read = body::read(body, ANSWER_LIMIT).await;
+            let read = body::read(body, MAX_RESPONSE_BYTES).await;
             let bytes =
                 read.map_err(|error| CallError::Interrupted { addr, cause: error.to_string() })?;
             Ok((head.status, bytes, head.headers))
         };
-        match tokio::time::timeout(limit, exchange).await {
-            Ok(answer) => answer,
+        match tokio::time::timeout(limit, call).await {
+            Ok(result) => result,
             Err(_) => Err(CallError::Timeout { addr, limit }),
         }
     }
 
-    /// Sends `GET path` and reads the JSON answer.
+    /// Sends `GET path` and parses the JSON response.
     pub async fn get<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -132,7 +132,7 @@
         decode(addr, self.call(addr, request, limit).await?)
     }
 
-    /// The same, of what may have nothing to tell: it answers 204 then.
+    /// Like [`Client::get`], for resources that may be absent: status 204 (No Content) yields `None`.
     pub async fn get_if_any<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -140,14 +140,14 @@
         limit: Duration,
     ) -> Result<Option<T>, CallError> {
         let request = build(addr, Method::GET, path, body::empty())?;
-        let answer = self.call(addr, request, limit).await?;
-        if answer.0 == StatusCode::NO_CONTENT {
+        let response = self.call(addr, request, limit).await?;
+        if response.0 == StatusCode::NO_CONTENT {
             return Ok(None);
         }
-        decode(addr, answer).map(Some)
+        decode(addr, response).map(Some)
     }
 
-    /// Sends `GET path` and reads the answer as text.
+    /// Sends `GET path` and reads the response as text.
     pub async fn get_text(
         &self,
         addr: SocketAddr,
@@ -160,7 +160,7 @@
         if status.is_success() { Ok(text) } else { Err(CallError::Status { addr, status, text }) }
     }
 
-    /// Sends `POST path` with a JSON body and reads the JSON answer.
+    /// Sends `POST path` with a JSON body and parses the JSON response.
     pub async fn post<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -181,26 +181,27 @@
     path: &str,
     body: Body,
 ) -> Result<Request<Body>, CallError> {
-    let bad = |error: http::Error| CallError::InvalidResponse { addr, cause: error.to_string() };
+    let invalid =
+        |error: http::Error| CallError::InvalidResponse { addr, cause: error.to_string() };
     let uri = Uri::builder()
         .scheme("http")
         .authority(addr.to_string())
         .path_and_query(path)
         .build()
-        .map_err(bad)?;
+        .map_err(invalid)?;
     Request::builder()
         .method(method)
         .uri(uri)
         .header("content-type", "application/json")
         .body(body)
-        .map_err(bad)
+        .map_err(invalid)
 }
 
 fn decode<T: DeserializeOwned>(
     addr: SocketAddr,
-    answer: (StatusCode, Bytes),
+    response: (StatusCode, Bytes),
 ) -> Result<T, CallError> {
-    let (status, bytes) = answer;
+    let (status, bytes) = response;
     if !status.is_success() {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         return Err(CallError::Status { addr, status, text });
@@ -209,8 +210,8 @@
         .map_err(|error| CallError::InvalidResponse { addr, cause: error.to_string() })
 }
 
-fn fault(addr: SocketAddr, error: &legacy::Error) -> CallError {
-    let cause = chain(error);
+fn transport_error(addr: SocketAddr, error: &legacy::Error) -> CallError {
+    let cause = with_causes(error);
     if error.is_connect() {
         CallError::Connect { addr, cause }
     } else {
@@ -218,7 +219,8 @@
     }
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+/// The error's text, followed by the texts of its causes.
+fn with_causes(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(error.source(), |cause| cause.source());
     causes.fold(error.to_string(), |text, cause| format!("{text}: {cause}"))
 }
--- a/components/web/src/lib.rs
+++ b/components/web/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP servers and clients over hyper: the plumbing that every process needs.
+//! HTTP servers, clients and bodies on top of hyper, shared by all processes.
 
 mod body;
 mod channel;
@@ -6,6 +6,6 @@
 mod server;
 
 pub use body::{Body, BodyError, empty, full, json, read, text};
-pub use channel::{Closed, BodyWriter, channel};
+pub use channel::{BodyWriter, Closed, channel};
 pub use client::{CallError, Client};
 pub use server::{BindError, Listener, Protocol, ServeOptions, bind, serve, stopped};
--- a/components/web/src/server.rs
+++ b/components/web/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers: one task for each connection, ended by a shutdown signal after the requests in flight.
+//! HTTP servers: one task per connection; after a stop signal, the requests in flight are finished.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,10 +16,10 @@
 
 use crate::Body;
 
-/// A bound socket.
+/// A bound TCP socket that accepts connections.
 pub type Listener = TcpListener;
 
-/// Why a server could not be bound.
+/// Why an address could not be bound.
 #[derive(Debug, Error)]
 #[error("cannot listen on {addr}: {cause}; choose another port or stop the process that has it")]
 pub struct BindError {
@@ -27,38 +27,43 @@
     cause: std::io::Error,
 }
 
-/// The version of HTTP a server speaks.
+/// The version of HTTP that a server speaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1, for callers and the platform.
     Http1,
-    /// HTTP/2 without negotiation, between processes of the system.
+    /// HTTP/2 without negotiation (prior knowledge), between processes of the system.
     Http2,
 }
 
-/// How a server treats its connections.
+/// How a server handles its connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ServeOptions {
     /// The version of HTTP.
     pub protocol: Protocol,
-    /// HTTP/1: longest wait for a request's header. HTTP/2: pause between pings.
+    /// How long a peer may stay silent. HTTP/1: the timeout for the header of a request. HTTP/2: the pause between
+    /// keep-alive pings, and the timeout for their acknowledgement.
     pub peer_timeout: Duration,
-    /// HTTP/2: the most streams that one connection may have open.
+    /// HTTP/2: how many streams one connection may have open at the same time.
     pub max_streams: u32,
 }
 
 impl Default for ServeOptions {
     fn default() -> Self {
-        Self { protocol: Protocol::Http1, peer_timeout: Duration::from_secs(10), max_streams: 10_000 }
+        Self {
+            protocol: Protocol::Http1,
+            peer_timeout: Duration::from_secs(10),
+            max_streams: 10_000,
+        }
     }
 }
 
-/// Binds an address; port 0 takes any free one.
+/// Binds an address; port 0 selects any free port.
 pub async fn bind(addr: SocketAddr) -> Result<Listener, BindError> {
     TcpListener::bind(addr).await.map_err(|cause| BindError { addr, cause })
 }
 
-/// Serves until `stop` turns true, then closes each connection after its requests in flight.
+/// Serves until `stop` turns true, or its sender is dropped; then finishes the requests in flight and closes all connections.
 pub async fn serve<H, F>(
     listener: Listener,
     options: ServeOptions,
@@ -74,10 +79,10 @@
             () = stopped(&mut stop) => break,
             accepted = listener.accept() => match accepted {
                 Ok((stream, peer)) => {
-                    connections.spawn(connection(stream, peer, options, stop.clone(), handler.clone()));
+                    connections.spawn(serve_connection(stream, peer, options, stop.clone(), handler.clone()));
                 }
                 Err(error) => {
-                    log::warn!("web: accept failed: {error}");
+                    log::warn!("web: accepting a connection failed: {error}");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             },
@@ -88,12 +93,12 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Waits until the signal is true or its sender is gone.
+/// Waits until the stop signal turns true or its sender is dropped.
 pub async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
-async fn connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     peer: SocketAddr,
     options: ServeOptions,
@@ -105,22 +110,22 @@
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let answer = handler(request, peer);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request, peer);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let io = TokioIo::new(stream);
     macro_rules! drive {
         ($connection:expr) => {{
             let mut connection = std::pin::pin!($connection);
-            let ended = tokio::select! {
-                ended = connection.as_mut() => ended,
+            let result = tokio::select! {
+                result = connection.as_mut() => result,
                 () = stopped(&mut stop) => {
                     connection.as_mut().graceful_shutdown();
                     connection.await
                 }
             };
-            if let Err(error) = ended {
-                log::debug!("web: connection from {peer} ended: {error}");
+            if let Err(error) = result {
+                log::debug!("web: connection from {peer} failed: {error}");
             }
         }};
     }
