--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,7 +1,8 @@
-//! Moments on a clock that counts on while the machine stands still.
+//! Points in time on a clock that keeps counting while the machine is suspended.
 //!
-//! The steady clock stops with a suspended machine, and the time of day jumps. What must end after some time whatever
-//! happens to the machine, such as a lease or the proof that a key still holds, is dated by a [`Moment`].
+//! The monotonic clock stops while the machine is suspended, and the wall clock can jump. Whatever must expire after a
+//! fixed time even if the machine is suspended, such as a lease or the confirmation that a key is still valid, is
+//! timestamped with a [`Moment`].
 
 use std::ops::Add;
 use std::sync::LazyLock;
@@ -10,43 +11,45 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Moments are counted from this long before the first one, so that earlier ones can be told.
-const BEFORE: Duration = Duration::from_secs(24 * 60 * 60);
+/// Moments are counted from this long before the first one, so that moments before the first can be represented.
+const ORIGIN_OFFSET: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A moment of this process, on the clock that has run further.
+/// A point in time, comparable only within this process, by whichever clock has advanced further since its start:
+/// the monotonic clock or the boot-time clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(Duration);
 
+/// The readings of the monotonic clock and the boot-time clock at the first moment.
 static START: LazyLock<(Instant, Duration)> = LazyLock::new(|| (Instant::now(), since_boot()));
 
-/// The time since the machine started, suspensions included.
+/// The time since the machine booted, including the time during which it was suspended.
 fn since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
 }
 
 impl Moment {
-    /// Now.
+    /// The current moment.
     pub fn now() -> Self {
-        let (steady, whole) = *START;
+        let (start, start_boot) = *START;
         let now = Instant::now();
         let (ahead, behind) =
-            (now.saturating_duration_since(steady), steady.saturating_duration_since(now));
-        let whole = since_boot().saturating_sub(whole);
-        // A clock that was paused may be behind the first moment.
-        Self(BEFORE + ahead.max(whole) - behind)
+            (now.saturating_duration_since(start), start.saturating_duration_since(now));
+        let boot_time = since_boot().saturating_sub(start_boot);
+        // A clock that a test has paused may be behind the first moment.
+        Self(ORIGIN_OFFSET + ahead.max(boot_time) - behind)
     }
 
-    /// How long ago an earlier moment was; zero if it is later.
+    /// The time since an earlier moment; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// How long ago it was.
+    /// The time since this moment.
     pub fn elapsed(self) -> Duration {
         Self::now().since(self)
     }
 
-    /// The moment this much earlier.
+    /// The moment that lies `span` before this one, or the oldest one that can be represented.
     pub fn saturating_sub(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(span))
     }
--- a/components/clock/src/tests.rs
+++ b/components/clock/src/tests.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn counts_with_the_steady_clock() {
+async fn advances_with_the_monotonic_clock() {
     let before = Moment::now();
     tokio::time::advance(Duration::from_secs(7)).await;
-    // The other clock, which nobody pauses, was a little ahead at first.
+    // The boot-time clock, which a test can't pause, was slightly ahead at first.
     assert!(before.elapsed() >= Duration::from_secs(6));
     assert!(before.elapsed() < Duration::from_secs(8));
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_earlier_moment_is_older() {
+async fn since_gives_the_difference_and_is_never_negative() {
     let now = Moment::now();
     let span = Duration::from_secs(5);
     assert_eq!(now.since(now.saturating_sub(span)), span);
--- a/components/jsonc/src/lib.rs
+++ b/components/jsonc/src/lib.rs
@@ -1,8 +1,8 @@
-//! The dialect of JSON with comments that settings are written in.
+//! The parser options for JSON with comments, the format of settings files.
 
 use jsonc_parser::ParseOptions;
 
-/// JSON with comments and trailing commas, and nothing looser, so that a slip is an error.
+/// Accepts JSON with comments and trailing commas, and no other extension, so that a typo is an error.
 pub const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
--- a/programs/src/bin/hyssop-loader.rs
+++ b/programs/src/bin/hyssop-loader.rs
@@ -1,4 +1,4 @@
-//! `hyssop-loader`.
+//! The program `hyssop-loader`: loads and evicts models at one endpoint.
 
 use std::process::ExitCode;
 
--- a/programs/src/bin/hyssop-router.rs
+++ b/programs/src/bin/hyssop-router.rs
@@ -1,4 +1,4 @@
-//! `hyssop-router`.
+//! The program `hyssop-router`: sends callers' requests to endpoints.
 
 use std::process::ExitCode;
 
--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -1,28 +1,29 @@
-//! Routers and loaders as processes under seeded faults: a short run. `hyssop-load soak --seeds 1..51` plays more.
+//! A short soak test: routers and loaders run as processes while faults are injected from fixed seeds.
+//! `hyssop-load soak --seeds 1..51` runs more seeds.
 
 use std::ffi::OsString;
 use std::path::Path;
 use std::process::ExitCode;
 
 #[test]
-fn no_promise_is_broken_by_processes_under_seeded_faults() {
-    play(&["--seeds", "3..6"]);
+fn processes_keep_all_guarantees_under_seeded_faults() {
+    run_soak(&["--seeds", "3..6"]);
 }
 
 #[test]
-fn no_promise_is_broken_by_processes_while_the_store_comes_back_from_copies() {
-    play(&["--seeds", "1..4", "--restores"]);
+fn processes_keep_all_guarantees_while_the_store_is_restored_from_copies() {
+    run_soak(&["--seeds", "1..4", "--restores"]);
 }
 
-fn play(options: &[&str]) {
-    // Both programs are built before the test, in one folder.
+fn run_soak(options: &[&str]) {
+    // Cargo builds both programs before the test, into the same folder.
     let bin = Path::new(env!("CARGO_BIN_EXE_hyssop-router")).parent().expect("a folder");
     assert!(Path::new(env!("CARGO_BIN_EXE_hyssop-loader")).starts_with(bin));
     let out = tempfile::tempdir().expect("a folder").keep();
-    let words = ["hyssop-load", "soak"].iter().chain(options);
-    let mut words: Vec<OsString> = words.map(OsString::from).collect();
-    words.extend(["--bin".into(), bin.into(), "--out".into(), out.clone().into()]);
-    // The lines of the processes, which tell what happened, are kept if a promise is broken.
-    assert_eq!(load::main(words), ExitCode::SUCCESS, "logs: {}", out.display());
-    std::fs::remove_dir_all(out).expect("the folder goes");
+    let args = ["hyssop-load", "soak"].iter().chain(options);
+    let mut args: Vec<OsString> = args.map(OsString::from).collect();
+    args.extend(["--bin".into(), bin.into(), "--out".into(), out.clone().into()]);
+    // The logs of the processes are kept if a guarantee is violated, so that the cause can be found.
+    assert_eq!(load::main(args), ExitCode::SUCCESS, "logs: {}", out.disrun_soak());
+    std::fs::remove_dir_all(out).expect("the folder is removed");
 }
