--- a/programs/tests/soak.rs
+++ b/programs/tests/soak.rs
@@ -24,6 +24,6 @@
     let mut args: Vec<OsString> = args.map(OsString::from).collect();
     args.extend(["--bin".into(), bin.into(), "--out".into(), out.clone().into()]);
     // The logs of the processes are kept if a guarantee is violated, so that the cause can be found.
-    assert_eq!(load::main(args), ExitCode::SUCCESS, "logs: {}", out.disrun_soak());
+    assert_eq!(load::main(args), ExitCode::SUCCESS, "logs: {}", out.display());
     std::fs::remove_dir_all(out).expect("the folder is removed");
 }
