--- a/components/peer/src/client.rs
+++ b/components/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking peers.
+//! The client that sends requests to peers.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -15,22 +15,22 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, timeout};
 
-use crate::operation::{MESSAGE_LIMIT, Operation};
-
-/// How many questions to one peer may be under way; a lost peer takes no more than these.
-const PER_PEER: usize = 4;
-/// How many connections are kept open.
-const MAX_PEERS: usize = 128;
-/// How long a connection that nobody uses stays open.
-const IDLE: Duration = Duration::from_secs(30);
-/// The shortest pause before a broken connection is dialled again.
-const REDIAL_MIN: Duration = Duration::from_millis(50);
-/// The longest pause before a broken connection is dialled again.
-const REDIAL_MAX: Duration = Duration::from_secs(1);
-/// The pause before nng repeats an unanswered question.
-const RESEND: Duration = Duration::from_secs(60);
-
-/// Why a peer gave no answer.
+use crate::operation::{MAX_MESSAGE_BYTES, Operation};
+
+/// How many requests to one peer may be in flight; an unreachable peer occupies no more than this many.
+const MAX_REQUESTS_PER_PEER: usize = 4;
+/// How many connections are kept open at most.
+const MAX_CONNECTIONS: usize = 128;
+/// An unused connection is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The shortest delay before nng reconnects after a lost connection.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// The longest delay before nng reconnects after a lost connection.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// The interval after which nng resends an unanswered request.
+const RESEND_INTERVAL: Duration = Duration::from_secs(60);
+
+/// Why a request to a peer failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("no answer from the peer at {addr}: {cause}")]
 pub struct PeerError {
@@ -41,32 +41,32 @@
 #[derive(Debug)]
 struct Connection {
     socket: Socket,
-    slots: Semaphore,
+    request_permits: Semaphore,
 }
 
 #[derive(Debug)]
-struct Open {
+struct PooledConnection {
     connection: Arc<Connection>,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// Asks peers; cheap to clone; connections are opened on demand and closed when idle.
+/// Sends requests to peers; cheap to clone. Connections are opened on demand and closed when idle.
 #[derive(Debug, Clone, Default)]
 pub struct Client {
-    open: Arc<Mutex<HashMap<SocketAddr, Open>>>,
+    pool: Arc<Mutex<HashMap<SocketAddr, PooledConnection>>>,
 }
 
 impl PeerError {
-    /// No answer from a peer, and why.
+    /// The failure of a request to `addr`, with its cause.
     pub fn new(addr: SocketAddr, cause: impl Into<String>) -> Self {
         Self { addr, cause: cause.into() }
     }
 }
 
-/// The network between peers; tests put one in memory in its place.
+/// Sends requests to peers; tests replace the network by an implementation in memory.
 #[async_trait]
 pub trait Transport: fmt::Debug + Send + Sync {
-    /// Sends a message and waits for the answer within the limit.
+    /// Sends a request and waits for the response, at most for `limit`.
     async fn request(
         &self,
         addr: SocketAddr,
@@ -88,7 +88,7 @@
 }
 
 impl Client {
-    /// Sends a message and waits for the answer within the limit.
+    /// Sends a request and waits for the response, at most for `limit`.
     pub async fn request(
         &self,
         addr: SocketAddr,
@@ -98,64 +98,70 @@
         let failed = |cause: String| PeerError::new(addr, cause);
         let connection = self.connection(addr).map_err(|error| failed(error.to_string()))?;
         match timeout(limit, connection.request(&message)).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => {
-                self.forget(addr, &connection);
+                self.discard(addr, &connection);
                 Err(failed(error.to_string()))
             }
             Err(_) => {
-                self.forget(addr, &connection);
+                self.discard(addr, &connection);
                 Err(failed(format!("it took longer than {limit:?}")))
             }
         }
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
-        self.open().len()
+        self.lock_pool().len()
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<SocketAddr, Open>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_pool(&self) -> MutexGuard<'_, HashMap<SocketAddr, PooledConnection>> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn connection(&self, addr: SocketAddr) -> nng::Result<Arc<Connection>> {
-        let mut open = self.open();
+        let mut pool = self.lock_pool();
         let now = Instant::now();
-        let unused = close_unused(&mut open, now);
-        let connection = match open.get_mut(&addr) {
+        let unused = remove_unused(&mut pool, now);
+        let connection = match pool.get_mut(&addr) {
             Some(found) => {
-                found.used = now;
+                found.last_used = now;
                 found.connection.clone()
             }
             None => {
                 let connection = Arc::new(Connection::dial(addr)?);
-                open.insert(addr, Open { connection: connection.clone(), used: now });
+                pool.insert(
+                    addr,
+                    PooledConnection { connection: connection.clone(), last_used: now },
+                );
                 connection
             }
         };
-        drop(open);
+        drop(pool);
         drop(unused);
         Ok(connection)
     }
 
-    /// Drops a connection that failed: it may be silent for good while a new one works.
-    fn forget(&self, addr: SocketAddr, failed: &Arc<Connection>) {
-        let mut open = self.open();
-        if open.get(&addr).is_some_and(|found| Arc::ptr_eq(&found.connection, failed)) {
-            open.remove(&addr);
+    /// Removes a failed connection from the pool: it may stay silent permanently while a new connection would work.
+    fn discard(&self, addr: SocketAddr, failed: &Arc<Connection>) {
+        let mut pool = self.lock_pool();
+        if pool.get(&addr).is_some_and(|found| Arc::ptr_eq(&found.connection, failed)) {
+            pool.remove(&addr);
         }
     }
 }
 
-/// Takes out the connections that are idle, and the one unused for longest if there are too many.
-fn close_unused(open: &mut HashMap<SocketAddr, Open>, now: Instant) -> Vec<Open> {
-    let idle = |found: &Open| now.duration_since(found.used) > IDLE;
-    let mut unused: Vec<Open> =
-        open.extract_if(|_, found| idle(found)).map(|(_, found)| found).collect();
-    if open.len() >= MAX_PEERS {
-        let oldest = open.iter().min_by_key(|(_, found)| found.used).map(|(addr, _)| *addr);
-        unused.extend(oldest.and_then(|addr| open.remove(&addr)));
+/// Removes the idle connections from the pool, and the least recently used one if the pool is full.
+fn remove_unused(
+    pool: &mut HashMap<SocketAddr, PooledConnection>,
+    now: Instant,
+) -> Vec<PooledConnection> {
+    let idle = |found: &PooledConnection| now.duration_since(found.last_used) > IDLE_TIMEOUT;
+    let mut unused: Vec<PooledConnection> =
+        pool.extract_if(|_, found| idle(found)).map(|(_, found)| found).collect();
+    if pool.len() >= MAX_CONNECTIONS {
+        let oldest = pool.iter().min_by_key(|(_, found)| found.last_used).map(|(addr, _)| *addr);
+        unused.extend(oldest.and_then(|addr| pool.remove(&addr)));
     }
     unused
 }
@@ -163,16 +169,16 @@
 impl Connection {
     fn dial(addr: SocketAddr) -> nng::Result<Self> {
         let socket = Socket::new(Protocol::Req0)?;
-        socket.set_opt::<RecvMaxSize>(MESSAGE_LIMIT)?;
-        socket.set_opt::<ReconnectMinTime>(Some(REDIAL_MIN))?;
-        socket.set_opt::<ReconnectMaxTime>(Some(REDIAL_MAX))?;
-        socket.set_opt::<ResendTime>(Some(RESEND))?;
+        socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
+        socket.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY))?;
+        socket.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY))?;
+        socket.set_opt::<ResendTime>(Some(RESEND_INTERVAL))?;
         socket.dial_async(&format!("tcp://{addr}"))?;
-        Ok(Self { socket, slots: Semaphore::new(PER_PEER) })
+        Ok(Self { socket, request_permits: Semaphore::new(MAX_REQUESTS_PER_PEER) })
     }
 
     async fn request(&self, message: &[u8]) -> nng::Result<Bytes> {
-        let _slot = self.slots.acquire().await.map_err(|_| nng::Error::Closed)?;
+        let _permit = self.request_permits.acquire().await.map_err(|_| nng::Error::Closed)?;
         let mut operation = Operation::new(&self.socket)?;
         operation.send(message).await?;
         operation.receive().await
--- a/components/peer/src/lib.rs
+++ b/components/peer/src/lib.rs
@@ -1,6 +1,6 @@
 //! Control messages between processes over nng's request/reply sockets.
 //!
-//! nng resends a request by itself when a connection is lost, so everything that travels here is idempotent.
+//! nng resends a request by itself when a connection is lost, so every message sent here must be idempotent.
 
 mod client;
 mod operation;
--- a/components/peer/src/server.rs
+++ b/components/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering peers.
+//! The server of the control socket, which answers requests of peers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-use crate::operation::{MESSAGE_LIMIT, Operation};
+use crate::operation::{MAX_MESSAGE_BYTES, Operation};
 
-/// How many messages are answered at the same time.
-const WORKERS: usize = 16;
+/// How many requests are handled at the same time.
+const MAX_CONCURRENT_REQUESTS: usize = 16;
 
 /// Why the control socket can't be opened.
 #[derive(Debug, Error)]
@@ -40,11 +40,11 @@
 
 fn bind(addr: SocketAddr) -> nng::Result<Listener> {
     let socket = Socket::new(Protocol::Rep0)?;
-    socket.set_opt::<RecvMaxSize>(MESSAGE_LIMIT)?;
+    socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
     let builder = ListenerBuilder::new(&socket, &format!("tcp://{addr}"))?;
     builder.set_opt::<KeepAlive>(true)?;
     let listener = builder.start().map_err(|(_, error)| error)?;
-    // The listener's URL has the real port; its address option has the port's bytes swapped.
+    // The listener's URL has the assigned port; nng's address option returns the port with its bytes swapped.
     let url = listener.get_opt::<Url>()?;
     let bound = url.strip_prefix("tcp://").and_then(|bound| bound.parse().ok());
     let addr = bound.unwrap_or(addr);
@@ -52,28 +52,28 @@
 }
 
 impl Listener {
-    /// Where it listens; port 0 has become a real one.
+    /// The address of the socket; if port 0 was bound, with the port that was assigned.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Answers messages with the handler until `stop` turns true, or its sender is dropped.
+    /// Answers requests with the handler until `stop` turns true or its sender is dropped.
     pub fn serve<H, F>(self, stop: watch::Receiver<bool>, handler: H) -> Result<(), ServeError>
     where
         H: Fn(Bytes) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = Bytes> + Send + 'static,
     {
         let failed = |error: nng::Error| ServeError { addr: self.addr, cause: error.to_string() };
-        let workers = (0..WORKERS).map(|_| Operation::new(&self.socket));
+        let workers = (0..MAX_CONCURRENT_REQUESTS).map(|_| Operation::new(&self.socket));
         let workers = workers.collect::<nng::Result<Vec<_>>>().map_err(failed)?;
         for operation in workers {
             let (stop, handler) = (stop.clone(), handler.clone());
-            tokio::spawn(work(operation, stop, handler));
+            tokio::spawn(run_worker(operation, stop, handler));
         }
         tokio::spawn(async move {
             stopped(stop).await;
             self.listener.close();
-            // The socket closes with the last worker.
+            // The socket closes when the last worker drops its handle.
             drop(self.socket);
         });
         Ok(())
@@ -81,22 +81,22 @@
 }
 
 async fn stopped(mut stop: watch::Receiver<bool>) {
-    // An error means that the sender is gone, which ends the server too.
-    let _ended = stop.wait_for(|stop| *stop).await;
+    // An error means that the sender was dropped, which stops the server as well.
+    let _sender_dropped = stop.wait_for(|stop| *stop).await;
 }
 
-async fn work<H, F>(operation: Operation, stop: watch::Receiver<bool>, handler: H)
+async fn run_worker<H, F>(operation: Operation, stop: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Bytes) -> F,
     F: Future<Output = Bytes>,
 {
     tokio::select! {
         () = stopped(stop) => {}
-        () = answer_all(operation, handler) => {}
+        () = handle_requests(operation, handler) => {}
     }
 }
 
-async fn answer_all<H, F>(mut operation: Operation, handler: H)
+async fn handle_requests<H, F>(mut operation: Operation, handler: H)
 where
     H: Fn(Bytes) -> F,
     F: Future<Output = Bytes>,
@@ -106,18 +106,18 @@
             Ok(message) => message,
             Err(nng::Error::Closed) => return,
             Err(error) => {
-                log::warn!("peer: a message was lost: {error}");
+                log::warn!("peer: receiving a request failed: {error}");
                 continue;
             }
         };
-        let answer = handler(message).await;
-        if let Err(error) = operation.send(&answer).await {
-            log::debug!("peer: an answer was not sent: {error}");
+        let response = handler(message).await;
+        if let Err(error) = operation.send(&response).await {
+            log::debug!("peer: sending a response failed: {error}");
         }
     }
 }
 
-/// Answers messages with the handler until `stop` turns true; returns once the socket is bound.
+/// Answers requests with the handler until `stop` turns true or its sender is dropped; returns once the socket is bound.
 pub async fn serve<H, F>(
     addr: SocketAddr,
     stop: watch::Receiver<bool>,
--- a/components/peer/tests/ask.rs
+++ b/components/peer/tests/ask.rs
@@ -1,4 +1,4 @@
-//! Asking and answering over loopback.
+//! Tests of client and server over loopback.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const LIMIT: Duration = Duration::from_secs(10);
-const SHORT: Duration = Duration::from_millis(50);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
-fn any() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("a right address")
+fn any_port() -> SocketAddr {
+    "127.0.0.1:0".parse().expect("a valid address")
 }
 
 async fn echo(message: Bytes) -> Bytes {
@@ -21,66 +21,68 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn can_ask_many_questions_at_once() {
+async fn many_requests_can_be_in_flight_at_once() {
     let (stop, stopped) = watch::channel(false);
-    let server = listen(any()).expect("a free port");
+    let server = listen(any_port()).expect("a free port");
     let addr = server.addr();
     server.serve(stopped, echo).expect("the socket is bound");
     let client = Client::default();
-    let asks = (0..100).map(|i| {
+    let requests = (0..100).map(|i| {
         let client = client.clone();
         tokio::spawn(async move {
-            let message = Bytes::from(format!("question {i}"));
-            (client.request(addr, message.clone(), LIMIT).await, message)
+            let message = Bytes::from(format!("request {i}"));
+            (client.request(addr, message.clone(), REQUEST_TIMEOUT).await, message)
         })
     });
-    let asks: Vec<_> = asks.collect();
-    for ask in asks {
-        let (answer, message) = ask.await.expect("the task ended");
+    let requests: Vec<_> = requests.collect();
+    for request in requests {
+        let (answer, message) = request.await.expect("the task ended");
         assert_eq!(answer, Ok(message));
     }
     assert_eq!(client.connections(), 1);
     let large = Bytes::from(vec![7; 4 << 20]);
-    assert_eq!(client.request(addr, large.clone(), LIMIT).await, Ok(large));
+    assert_eq!(client.request(addr, large.clone(), REQUEST_TIMEOUT).await, Ok(large));
     drop(stop);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn can_ask_others_while_one_peer_is_silent() {
-    let silent = TcpListener::bind(any()).await.expect("a free port");
+async fn a_silent_peer_does_not_delay_requests_to_others() {
+    let silent = TcpListener::bind(any_port()).await.expect("a free port");
     let silent_addr = silent.local_addr().expect("it is bound");
     let (_stop, stopped) = watch::channel(false);
-    let server = listen(any()).expect("a free port");
+    let server = listen(any_port()).expect("a free port");
     let addr = server.addr();
     server.serve(stopped, echo).expect("the socket is bound");
     let client = Client::default();
-    let lost: Vec<_> = (0..20)
+    let unanswered: Vec<_> = (0..20)
         .map(|_| {
             let client = client.clone();
-            tokio::spawn(async move { client.request(silent_addr, Bytes::new(), LIMIT).await })
+            tokio::spawn(
+                async move { client.request(silent_addr, Bytes::new(), REQUEST_TIMEOUT).await },
+            )
         })
         .collect();
-    let answer = client.request(addr, Bytes::from_static(b"hello"), LIMIT).await;
+    let answer = client.request(addr, Bytes::from_static(b"hello"), REQUEST_TIMEOUT).await;
     assert_eq!(answer, Ok(Bytes::from_static(b"hello")));
-    lost.into_iter().for_each(|ask| ask.abort());
+    unanswered.into_iter().for_each(|request| request.abort());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn errors_on_a_silent_peer_and_opens_a_new_connection() {
-    let silent = TcpListener::bind(any()).await.expect("a free port");
+async fn a_request_to_a_silent_peer_fails_and_the_next_one_opens_a_new_connection() {
+    let silent = TcpListener::bind(any_port()).await.expect("a free port");
     let addr = silent.local_addr().expect("it is bound");
     let client = Client::default();
-    assert!(client.request(addr, Bytes::new(), SHORT).await.is_err());
+    assert!(client.request(addr, Bytes::new(), SHORT_TIMEOUT).await.is_err());
     assert_eq!(client.connections(), 0);
     drop(silent);
     let (_stop, stopped) = watch::channel(false);
     listen(addr).expect("the port is free again").serve(stopped, echo).expect("it is bound");
-    let answer = client.request(addr, Bytes::from_static(b"hello"), LIMIT).await;
+    let answer = client.request(addr, Bytes::from_static(b"hello"), REQUEST_TIMEOUT).await;
     assert_eq!(answer, Ok(Bytes::from_static(b"hello")));
 }
 
-/// Passes bytes on for connections that come after the last change of `silent`, and none for older ones.
-async fn pass_on(listener: TcpListener, to: SocketAddr, silent: watch::Receiver<u32>) {
+/// Forwards bytes of connections until `silent` changes; a connection opened before the change then passes no more bytes.
+async fn forward(listener: TcpListener, to: SocketAddr, silent: watch::Receiver<u32>) {
     while let Ok((mut near, _)) = listener.accept().await {
         let mut silent = silent.clone();
         silent.mark_unchanged();
@@ -95,43 +97,43 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn can_ask_again_after_an_open_connection_went_silent() {
+async fn a_request_succeeds_after_an_open_connection_went_silent() {
     let (_stop, stopped) = watch::channel(false);
-    let server = listen(any()).expect("a free port");
+    let server = listen(any_port()).expect("a free port");
     let to = server.addr();
     server.serve(stopped, echo).expect("the socket is bound");
-    let between = TcpListener::bind(any()).await.expect("a free port");
+    let between = TcpListener::bind(any_port()).await.expect("a free port");
     let addr = between.local_addr().expect("it is bound");
     let (silence, silent) = watch::channel(0);
-    let proxy = tokio::spawn(pass_on(between, to, silent));
+    let proxy = tokio::spawn(forward(between, to, silent));
     let client = Client::default();
     let hello = Bytes::from_static(b"hello");
-    assert_eq!(client.request(addr, hello.clone(), LIMIT).await, Ok(hello.clone()));
+    assert_eq!(client.request(addr, hello.clone(), REQUEST_TIMEOUT).await, Ok(hello.clone()));
     silence.send_replace(1);
-    assert!(client.request(addr, hello.clone(), SHORT).await.is_err());
-    assert_eq!(client.request(addr, hello.clone(), LIMIT).await, Ok(hello));
+    assert!(client.request(addr, hello.clone(), SHORT_TIMEOUT).await.is_err());
+    assert_eq!(client.request(addr, hello.clone(), REQUEST_TIMEOUT).await, Ok(hello));
     proxy.abort();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn errors_on_a_port_that_is_taken() {
-    let server = listen(any()).expect("a free port");
-    let error = listen(server.addr()).expect_err("the port is taken");
+async fn listening_on_a_port_in_use_fails_with_advice() {
+    let server = listen(any_port()).expect("a free port");
+    let error = listen(server.addr()).expect_err("the port is in use");
     assert!(error.to_string().contains("choose another port"), "{error}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn can_stop() {
+async fn the_server_stops_answering_after_the_stop_signal() {
     let (stop, stopped) = watch::channel(false);
-    let server = listen(any()).expect("a free port");
+    let server = listen(any_port()).expect("a free port");
     let addr = server.addr();
     server.serve(stopped, echo).expect("the socket is bound");
     let client = Client::default();
-    assert!(client.request(addr, Bytes::from_static(b"a"), LIMIT).await.is_ok());
+    assert!(client.request(addr, Bytes::from_static(b"a"), REQUEST_TIMEOUT).await.is_ok());
     stop.send_replace(true);
     drop(stop);
-    let mut answer = client.request(addr, Bytes::from_static(b"b"), SHORT).await;
+    let mut answer = client.request(addr, Bytes::from_static(b"b"), SHORT_TIMEOUT).await;
     while answer.is_ok() {
-        answer = client.request(addr, Bytes::from_static(b"b"), SHORT).await;
+        answer = client.request(addr, Bytes::from_static(b"b"), SHORT_TIMEOUT).await;
     }
 }
