--- a/components/timeline/src/clock.rs
+++ b/components/timeline/src/clock.rs
@@ -1,4 +1,4 @@
-//! The logical clock.
+//! The logical clock (a Lamport clock).
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of a logical clock; an event that another one caused has a greater tick.
+/// A reading of a logical clock; an event has a greater tick than the event that caused it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tick(pub u64);
@@ -37,7 +37,7 @@
         Tick(self.0.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// Moves the clock past the tick of a message that arrived.
+    /// Advances the clock to the tick of a received message, so that the next tick is greater.
     pub fn observe(&self, seen: Tick) {
         self.0.fetch_max(seen.0, Ordering::Relaxed);
     }
--- a/components/timeline/src/event.rs
+++ b/components/timeline/src/event.rs
@@ -7,7 +7,7 @@
 
 use crate::Tick;
 
-/// What happened.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -25,7 +25,7 @@
     Queued,
     /// An agent handed a request to its endpoint.
     Running,
-    /// An entry asked again for a request whose connection failed.
+    /// An entry resumed a request whose connection had failed.
     Resumed,
     /// A request got its final outcome.
     Answered,
@@ -33,17 +33,17 @@
     Cancelled,
     /// An agent ordered a load.
     LoadOrdered,
-    /// The inventory showed a load done.
+    /// The endpoint's inventory showed that a load had finished.
     Loaded,
     /// An agent ordered an unload.
     UnloadOrdered,
-    /// The inventory showed a replica gone.
+    /// The endpoint's inventory no longer showed a replica.
     Unloaded,
-    /// A process woke the next replica.
+    /// A process activated the next replica of a model.
     Woken,
-    /// A record was folded and took effect.
+    /// A record was applied to the state and took effect.
     Applied,
-    /// A record was folded and is void.
+    /// A record was read from the log and rejected as void.
     Voided,
     /// A process became the planner.
     Elected,
@@ -55,7 +55,7 @@
     LogUp,
     /// An endpoint left or was dropped.
     Gone,
-    /// A fault was switched on in a stand-in.
+    /// A fault was enabled in a stand-in for tests.
     Fault,
 }
 
@@ -70,24 +70,25 @@
 /// One event of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The logical clock at the event.
+    /// The reading of the logical clock at the event.
     pub tick: Tick,
-    /// Wall clock in milliseconds since 1970, for people; never used for order.
+    /// The wall-clock time in milliseconds since 1970, for display. Only breaks ties between equal ticks when events are
+    /// sorted.
     pub wall: u64,
-    /// The process.
+    /// The instance on which the event happened.
     pub instance: InstanceId,
-    /// What happened.
+    /// The kind of the event.
     pub kind: Kind,
-    /// The request it is about.
+    /// The request that the event is about, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The model it is about.
+    /// The model that the event is about, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelName>,
-    /// The endpoint it is about.
+    /// The endpoint that the event is about, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<EndpointId>,
-    /// More for people, in a few words.
+    /// Further details for display, in a few words.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub note: String,
 }
@@ -114,7 +115,7 @@
         self
     }
 
-    /// Adds a few words.
+    /// Adds further details.
     #[must_use]
     pub fn note(mut self, note: impl Into<String>) -> Self {
         self.note = note.into();
@@ -122,7 +123,7 @@
     }
 }
 
-/// Sorts events of several processes so that causes come before effects.
-pub(crate) fn order(event: &Event) -> (Tick, u64, &str) {
+/// The sort key by which causes come before their effects, across processes.
+pub(crate) fn sort_key(event: &Event) -> (Tick, u64, &str) {
     (event.tick, event.wall, event.instance.as_str())
 }
--- a/components/timeline/src/lib.rs
+++ b/components/timeline/src/lib.rs
@@ -1,4 +1,4 @@
-//! Events of all processes in causal order: a logical clock rides on every message between processes.
+//! Events of all processes in causal order: every message between processes carries the sender's logical clock.
 
 mod clock;
 mod event;
--- a/components/timeline/src/recorder/tests.rs
+++ b/components/timeline/src/recorder/tests.rs
@@ -1,4 +1,4 @@
-use super::{KEPT, Recorder};
+use super::{MAX_EVENTS, Recorder};
 use crate::{Event, Kind};
 
 fn recorder(name: &str) -> Recorder {
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn can_order_a_cause_before_its_effect() {
+fn a_cause_is_sorted_before_its_effect() {
     let (entry, agent) = (recorder("entry-1"), recorder("agent-1"));
     agent.record(agent.event(Kind::Started));
     let sent = entry.event(Kind::Dispatched);
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn can_bound_what_is_kept() {
+fn the_oldest_events_are_dropped() {
     let recorder = recorder("entry-1");
-    for _ in 0..KEPT + 10 {
+    for _ in 0..MAX_EVENTS + 10 {
         recorder.record(recorder.event(Kind::Applied));
     }
-    assert_eq!(recorder.to_lines().lines().count(), KEPT);
+    assert_eq!(recorder.to_lines().lines().count(), MAX_EVENTS);
 }
