--- a/components/record/src/lib.rs
+++ b/components/record/src/lib.rs
@@ -1,8 +1,7 @@
-//! Records of the log: what the processes agree on.
+//! Records of the shared log, from which all processes compute the same state.
 //!
-//! A record is one JSON object. Its offset, which the log service gives it, is part of its meaning:
-//! a claim's offset is the new planner epoch, an attach's offset the new incarnation, an edit's
-//! offset the new revision.
+//! A record is one JSON object. Its offset, which the log service assigns, is part of its meaning: the offset of a claim
+//! is the new planner epoch, the offset of an attach is the new incarnation, the offset of an edit is the new revision.
 
 use std::net::SocketAddr;
 
@@ -16,78 +15,79 @@
 /// The newest version of the record format that this code can apply.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// For how many offsets the ids of records are remembered, and how long a record may be on its way.
+/// For how many offsets the ids of applied records are remembered. A record that is appended later than that after the
+/// offset that its writer had seen is void, so a repeated record is always recognized.
 pub const RECORD_WINDOW_OFFSETS: u64 = 4096;
 
-/// How many cached checkpoints of an endpoint are kept; each process holds those of all endpoints.
+/// How many cached checkpoints are kept per endpoint; every process keeps those of all endpoints in memory.
 pub const MAX_CACHED_CHECKPOINTS: usize = 32;
 
 /// One record with its envelope.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The oldest format version that can apply the record; a reader below it stops deciding anything.
+    /// The oldest format version that can apply the record; a reader with an older version stops making decisions.
     pub needs: u32,
-    /// Unique for good, so that a repeated append has one effect.
+    /// Unique forever, so that a repeated append takes effect only once.
     pub id: String,
-    /// The writer.
+    /// The instance that wrote the record.
     pub from: InstanceId,
     /// The writer's logical clock.
     pub tick: u64,
-    /// The newest offset that the writer had applied when it made the record; a record that surfaces
+    /// The newest offset that the writer had applied when it created the record; a record that appears in the log
     /// more than [`RECORD_WINDOW_OFFSETS`] offsets later is void.
     #[serde(default)]
     pub seen: Offset,
-    /// What it says.
+    /// The content of the record.
     pub body: Body,
 }
 
-/// What a record says.
+/// The content of a record, by kind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Body {
     /// An operator's edit of the settings tree.
     Edit(Edit),
-    /// A process takes the planner lease; valid only while `previous` is still the current epoch.
+    /// A process acquires the planner lease; valid only while `previous` is still the current epoch.
     Claim {
         /// The epoch that the claim replaces.
         previous: Epoch,
     },
-    /// The planner shows that it lives.
+    /// The planner renews its lease.
     Renew {
-        /// Its epoch.
+        /// The planner's epoch.
         epoch: Epoch,
     },
-    /// The planner gives its lease up.
+    /// The planner releases its lease.
     Resign {
-        /// Its epoch.
+        /// The planner's epoch.
         epoch: Epoch,
     },
-    /// Decisions of the planner, applied in order, each valid or void by itself.
+    /// Decisions of the planner, applied in order; each is valid or void independently of the others.
     Decide {
         /// The planner's epoch.
         epoch: Epoch,
         /// The decisions.
         decisions: Vec<Decision>,
     },
-    /// An agent takes charge of its endpoint; the offset is its incarnation.
+    /// An agent takes control of its endpoint; the record's offset becomes the incarnation.
     Attach(Attach),
-    /// An agent takes no new work and asks for its grants to be moved.
+    /// An agent accepts no new work and asks for its grants to be moved to other endpoints.
     Leave {
-        /// Its endpoint.
+        /// The agent's endpoint.
         endpoint: EndpointId,
-        /// Its incarnation.
+        /// The agent's incarnation.
         incarnation: Incarnation,
     },
-    /// An agent has unloaded what these grants allowed and uses them no more.
+    /// An agent has unloaded the replicas of these grants and no longer uses the grants.
     Release {
-        /// Its endpoint.
+        /// The agent's endpoint.
         endpoint: EndpointId,
-        /// Its incarnation.
+        /// The agent's incarnation.
         incarnation: Incarnation,
-        /// The grants.
+        /// The grants that are released.
         grants: Vec<GrantId>,
     },
-    /// One part of a snapshot of the folded state.
+    /// One part of a snapshot of the state.
     Snapshot(SnapshotChunk),
 }
 
@@ -95,71 +95,71 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum Decision {
-    /// Replica `index` of a model may be loaded on an endpoint, from now until it is released.
+    /// Replica `index` of a model may be loaded on an endpoint, from now until the grant is released.
     Grant {
         /// The model, as callers name it.
         model: ModelName,
-        /// Which replica of it.
+        /// The index of the replica.
         index: ReplicaIndex,
         /// What the engine loads: the model's name with its version.
         artifact: ModelName,
-        /// Where.
+        /// The endpoint that may load the replica.
         endpoint: EndpointId,
-        /// Why, in a few words.
+        /// The reason, in a few words.
         reason: String,
     },
-    /// The agent shall drain and unload the replica, then release the grant.
+    /// The agent must drain and unload the replica, then release the grant.
     Revoke {
-        /// The grant.
+        /// The grant that is revoked.
         grant: GrantId,
-        /// Why, in a few words.
+        /// The reason, in a few words.
         reason: String,
     },
-    /// The endpoint's instance is off the platform's list and its guard time has passed; its grants end.
+    /// The endpoint's instance is no longer on the platform's list and its guard time has passed, so its grants end.
     Gone {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The incarnation that was seen last; a newer attach makes the decision void.
+        /// The last known incarnation; a newer attach makes the decision void.
         incarnation: Incarnation,
     },
 }
 
-/// Names a grant: the decision that made it.
+/// Identifies a grant by the decision that created it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
-    /// The offset of the record.
+    /// The offset of the record with the decision.
     pub offset: Offset,
-    /// Which decision of the record, from 0.
+    /// The index of the decision in the record, from 0.
     pub part: u32,
 }
 
-/// What an agent says of itself and its endpoint.
+/// What an agent announces about itself and its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attach {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The instance it runs on.
+    /// The instance that the endpoint runs on.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub domain: Domain,
-    /// The platform's service it belongs to.
+    /// The platform's service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where the agent takes requests.
+    /// The address at which the agent accepts requests.
     pub dispatch: SocketAddr,
-    /// Where the agent takes control messages.
+    /// The address at which the agent accepts control messages.
     pub control: SocketAddr,
-    /// Where the agent's admin server is.
+    /// The address of the agent's admin server.
     pub admin: SocketAddr,
-    /// The accelerator memory of the endpoint; nothing for plain services.
+    /// The accelerator memory of the endpoint; zero for plain services.
     pub memory: Size,
-    /// Checkpoints that the endpoint has in a cache faster than the store, as it said at the attach, the
-    /// fastest first; only the first [`MAX_CACHED_CHECKPOINTS`] count.
+    /// The checkpoints that, at the time of the attach, the endpoint has in a cache faster than the store, those in
+    /// the fastest cache first; only the first [`MAX_CACHED_CHECKPOINTS`] count.
     #[serde(default)]
     pub cached: Vec<ModelName>,
-    /// Whether the endpoint refuses orders with an old fencing number.
+    /// Whether the endpoint rejects orders with an outdated fencing number.
     pub fenced: bool,
-    /// The endpoint's incarnation that the agent saw before, 0 if it is no member; an attach that surfaces
-    /// after a newer one is void.
+    /// The endpoint's previous incarnation as far as the agent knows, 0 if the endpoint is not a member; an attach that
+    /// appears in the log after a newer one is void.
     #[serde(default)]
     pub previous: Incarnation,
 }
@@ -167,15 +167,15 @@
 /// One part of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The state is folded up to this offset.
+    /// The offset of the newest record that the state includes.
     pub upto: Offset,
-    /// Which part, from 0.
+    /// The index of the part, from 0.
     pub part: u32,
-    /// How many parts.
+    /// The number of parts.
     pub parts: u32,
-    /// The digest of the whole, in hexadecimal.
+    /// The digest of the whole snapshot, in hexadecimal.
     pub digest: String,
-    /// The part's bytes as text.
+    /// The bytes of the part, encoded as text.
     pub data: String,
 }
 
@@ -185,11 +185,11 @@
 pub enum KeyRecord {
     /// A request claims a key; the first claim that is not withdrawn wins.
     Claim(KeyClaim),
-    /// The entry that claimed says that the request has not run and never will.
+    /// The entry that claimed the key states that the request has not run and never will.
     Withdraw {
-        /// The key.
+        /// The idempotency key.
         key: KeyHash,
-        /// The request.
+        /// The request that claimed the key.
         request: RequestId,
     },
 }
@@ -197,18 +197,18 @@
 /// A claim of an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// The digest of caller group, route and key.
+    /// The digest of the caller's group, the route and the key.
     pub key: KeyHash,
-    /// The request that may run.
+    /// The request that may run if the claim wins.
     pub request: RequestId,
-    /// The entry that claims.
+    /// The entry that claims the key.
     pub entry: InstanceId,
-    /// The digest of the call's body, so that a reused key with another body is refused.
+    /// The digest of the request body, so that reuse of the key with a different body is refused.
     pub digest: String,
 }
 
 impl Body {
-    /// The format version that brought this kind of record; a record that needs less is malformed.
+    /// The format version that introduced this kind of record; a record that states an older one is malformed.
     pub fn format_version(&self) -> u32 {
         match self {
             Self::Edit(_)
@@ -225,7 +225,7 @@
 }
 
 impl Record {
-    /// A record of this format version by a writer that had applied the log up to `seen`.
+    /// Creates a record of the current format version by a writer that had applied the log up to `seen`.
     pub fn new(id: String, from: InstanceId, tick: u64, seen: Offset, body: Body) -> Self {
         Self { needs: body.format_version(), id, from, tick, seen, body }
     }
--- a/components/sample/src/lib.rs
+++ b/components/sample/src/lib.rs
@@ -1,4 +1,4 @@
-//! Records and settings for tests and benches, with the parts that do not matter filled in.
+//! Records and settings for tests and benchmarks; the parts that don't matter there have fixed values.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tree::{Change, Edit, NodeKind};
 use units::{Epoch, Incarnation, Offset, ReplicaIndex, Revision, Size};
 
-/// Text as an id of the wanted kind; panics on text that is none.
+/// Parses an id of the required type; panics if the text is invalid.
 pub fn id<T: FromStr<Err: Debug>>(text: &str) -> T {
     text.parse().expect("ids of tests are valid")
 }
@@ -19,7 +19,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A first attach of a `likhari` endpoint with 80 GiB, on an instance of the same name in `saddar`.
+/// The first attach of a `likhari` endpoint with 80 GiB, on an instance of the same name in `saddar`.
 pub fn attach(endpoint: &str, addr: SocketAddr) -> Attach {
     Attach {
         endpoint: id(endpoint),
@@ -57,32 +57,32 @@
     Decision::Gone { endpoint: id(endpoint), incarnation: Incarnation(incarnation) }
 }
 
-/// Decisions of an epoch.
+/// A record body with decisions of the planner in an epoch.
 pub fn decide(epoch: u64, decisions: Vec<Decision>) -> Body {
     Body::Decide { epoch: Epoch(epoch), decisions }
 }
 
-/// A claim of the lease.
+/// A claim of the planner lease.
 pub fn claim(previous: u64) -> Body {
     Body::Claim { previous: Epoch(previous) }
 }
 
-/// An endpoint's leave.
+/// The record body by which an endpoint's agent leaves.
 pub fn leave(endpoint: &str, incarnation: u64) -> Body {
     Body::Leave { endpoint: id(endpoint), incarnation: Incarnation(incarnation) }
 }
 
-/// An endpoint's release.
+/// The record body by which an endpoint's agent releases grants.
 pub fn release(endpoint: &str, incarnation: u64, grants: Vec<GrantId>) -> Body {
     Body::Release { endpoint: id(endpoint), incarnation: Incarnation(incarnation), grants }
 }
 
-/// The name of a grant.
+/// The id of a grant.
 pub fn grant_id(offset: u64, part: u32) -> GrantId {
     GrantId { offset: Offset(offset), part }
 }
 
-/// An edit.
+/// An operator's edit of the settings tree, based on revision `base`.
 pub fn edit(name: &str, base: u64, changes: Vec<Change>) -> Body {
     Body::Edit(Edit { id: id(name), author: "amna".to_owned(), base: Revision(base), changes })
 }
@@ -92,12 +92,12 @@
     Change::Set { path: id(path), setting: id(setting), value: value.into() }
 }
 
-/// A new node.
+/// The change that adds a node.
 pub fn add(path: &str, kind: NodeKind) -> Change {
     Change::Add { path: id(path), kind }
 }
 
-/// A node's end.
+/// The change that removes a node.
 pub fn remove(path: &str) -> Change {
     Change::Remove { path: id(path) }
 }
