--- a/components/wire/src/control.rs
+++ b/components/wire/src/control.rs
@@ -1,4 +1,4 @@
-//! Control messages between processes; all idempotent, so they may be repeated or lost.
+//! Control messages between processes. All of them are idempotent, so they may be sent again or get lost.
 
 use serde::{Deserialize, Serialize};
 use timeline::Tick;
@@ -8,60 +8,60 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "control")]
 pub enum Control {
-    /// Compares positions in the log.
+    /// Reports the sender's position in the log; the answer has the receiver's.
     Heartbeat {
         /// The sender.
         from: InstanceId,
-        /// The newest offset it has applied.
+        /// The newest offset that the sender has applied.
         applied: Offset,
-        /// Its logical clock.
+        /// The sender's logical clock.
         tick: Tick,
     },
-    /// Asks for records that the sender misses.
+    /// Asks for records that the sender lacks.
     Fetch {
-        /// The newest offset it has, to compare, or the first that it misses.
+        /// The newest offset that the sender has, for comparison, or the first that it lacks.
         from: Offset,
     },
-    /// Asks for the whole folded state, when the log no longer has what the sender needs.
+    /// Asks for the complete state, if the log no longer has the records that the sender needs.
     FetchState,
-    /// Gives records to a peer that misses them; answered by the peer's position.
+    /// Sends records to a peer that lacks them; the answer is the peer's position.
     Offer {
-        /// Offsets and the records' text, in order, with no gap; first the newest one that the peer has.
+        /// Offsets and texts of the records, in order and without a gap; the first is the newest one that the peer has.
         records: Vec<(Offset, String)>,
     },
-    /// Gives the folded state to a peer that has none; answered by the peer's position.
+    /// Sends the complete state to a peer that has none; the answer is the peer's position.
     OfferState {
-        /// The newest offset in it.
+        /// The newest offset that the state includes.
         upto: Offset,
-        /// The snapshot's text.
+        /// The text of the snapshot.
         data: String,
     },
-    /// Wakes a replica before requests reach it.
+    /// Activates a replica before requests reach it.
     Wake {
         /// The model.
         model: ModelName,
-        /// Which replica.
+        /// The index of the replica.
         index: ReplicaIndex,
         /// The sender's logical clock.
         tick: Tick,
     },
-    /// Tells an agent that the platform's list shows its instance as leaving.
+    /// Tells an agent that the platform's list marks its instance as leaving.
     Leaving {
-        /// The instance; another that has taken its address over is not meant.
+        /// The instance. Another instance that has since taken over its address ignores the message.
         instance: InstanceId,
     },
-    /// Asks an entry for the demand that it has seen since it was asked last.
+    /// Asks an entry for the demand since the previous such message.
     FetchDemand,
 }
 
-/// Demand for one model.
+/// The demand for one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The model.
     pub model: ModelName,
-    /// Requests that came.
+    /// The number of requests received.
     pub requests: u32,
-    /// Requests that were refused for lack of capacity.
+    /// The number of requests refused for lack of capacity.
     pub refused: u32,
 }
 
@@ -69,31 +69,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "reply")]
 pub enum Reply {
-    /// To a heartbeat, an offer or a wake.
+    /// The answer to a heartbeat, an offer or a wake: the position in the log.
     Position {
-        /// The newest offset the answerer has applied.
+        /// The newest offset that the answering process has applied.
         applied: Offset,
-        /// Its logical clock.
+        /// The logical clock of the answering process.
         tick: Tick,
-        /// Who answers: an address may have passed to another instance.
+        /// The answering instance: another one may have taken over the address.
         #[serde(default)]
         from: Option<InstanceId>,
     },
-    /// To a fetch: records with their offsets, in order, with no gap; empty if it does not keep them.
+    /// The answer to a fetch: records in order and without a gap; empty if the answering process does not keep them.
     Records {
-        /// Offsets and the records' text.
+        /// Offsets and texts of the records.
         records: Vec<(Offset, String)>,
     },
-    /// To a fetch of the state: a snapshot's text, folded up to `upto`.
+    /// The answer to a fetch of the state: a snapshot that includes the records up to `upto`.
     State {
-        /// The newest offset in it.
+        /// The newest offset that the state includes.
         upto: Offset,
-        /// The snapshot's text.
+        /// The text of the snapshot.
         data: String,
     },
-    /// To a fetch of demand.
+    /// The answer to a fetch of demand.
     Demand {
-        /// Requests since the last fetch, by model.
+        /// The demand since the previous fetch, by model.
         demand: Vec<Demand>,
     },
     /// The message was not understood.
--- a/components/wire/src/dispatch.rs
+++ b/components/wire/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Headers and trailers of request streams between entry and agent.
+//! Headers and trailers of the request streams between an entry and an agent.
 
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 use serde::de::DeserializeOwned;
@@ -10,95 +10,96 @@
 
 use crate::{PrefixUpdate, Refusal, UnknownCause};
 
-/// The path of a dispatch.
+/// The path to which requests are dispatched.
 pub const DISPATCH_PATH: &str = "/dispatch";
-/// The path of a resume.
+/// The path at which an entry asks for the rest of an answer.
 pub const RESUME_PATH: &str = "/resume";
 
-const HEAD: &str = "hyssop-head";
-const REPORT: &str = "hyssop-report";
-const END: &str = "hyssop-end";
+const REQUEST_HEADER: &str = "hyssop-head";
+const REPORT_HEADER: &str = "hyssop-report";
+const END_TRAILER: &str = "hyssop-end";
 
-/// The head of a dispatch.
+/// The header of a dispatched request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The entry that sends it.
+    /// The entry that sends the request.
     pub entry: InstanceId,
-    /// The agent incarnation it is meant for.
+    /// The agent incarnation that the request is sent to.
     pub incarnation: Incarnation,
-    /// The model as callers name it; `None` for plain services.
+    /// The model, as callers name it; `None` for plain services.
     pub model: Option<ModelName>,
-    /// The adapter.
+    /// The adapter, if the request names one.
     pub adapter: Option<AdapterName>,
     /// The priority class.
     pub class: Class,
     /// The caller's group.
     pub group: CallerGroup,
-    /// Time left until the deadline, as the entry sends it.
+    /// The time left until the deadline when the entry sends the request.
     pub budget: Span,
-    /// Whether the call may be repeated.
+    /// Whether the request may be retried after it may have run.
     pub repeatable: bool,
-    /// The method of the caller's call.
+    /// The HTTP method of the caller's request.
     pub method: String,
-    /// The path and query of the caller's call at the endpoint.
+    /// The path and query of the caller's request at the endpoint.
     pub path: String,
-    /// The content type of the caller's call.
+    /// The content type of the caller's request.
     pub content: String,
     /// The sender's logical clock.
     pub tick: Tick,
 }
 
-/// Asks for the rest of an answer; a request the agent has never seen gets a tombstone and `Refusal::Cancelled`.
+/// Asks for the rest of an answer. For a request that the agent has never received, the agent records a tombstone, so
+/// that it never runs, and answers `Refusal::Cancelled`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The agent incarnation that had it.
+    /// The agent incarnation that received the request.
     pub incarnation: Incarnation,
-    /// The first byte that is missing.
+    /// The position of the first missing byte of the answer.
     pub from: u64,
-    /// Whether the request shall be cancelled rather than answered.
+    /// Whether to cancel the request instead of answering it.
     pub cancel: bool,
     /// The sender's logical clock.
     pub tick: Tick,
 }
 
-/// What an agent says of itself on every answer.
+/// The load of an agent, which it reports with every answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests waiting for the model at this endpoint.
+    /// The number of requests waiting for the model at this endpoint.
     pub waiting: u32,
-    /// Requests running on the model at this endpoint.
+    /// The number of requests running on the model at this endpoint.
     pub running: u32,
     /// Whether the model is loaded.
     pub warm: bool,
-    /// How many of the model's replicas, by index from 0, are awake or waking as far as the agent knows.
+    /// How many of the model's replicas, by index from 0, are active or being activated, as far as the agent knows.
     pub awake: u32,
     /// How long a new request would wait.
     pub wait: Span,
     /// The sender's logical clock.
     pub tick: Tick,
-    /// News of the model's prompt prefixes in the engine's cache, if the engine tells of them.
+    /// Changes of the model's prompt prefixes in the engine's cache, if the engine reports them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefixes: Option<PrefixUpdate>,
 }
 
-/// How the stream of an answer ended; a stream with no end was cut.
+/// How the stream of an answer ended; a stream without this trailer was interrupted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "end")]
 pub enum ResponseEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole {
-        /// Its length in bytes.
+        /// The length of the answer in bytes.
         length: u64,
     },
-    /// The endpoint failed within it.
+    /// The endpoint failed while it sent the answer.
     Failed(UnknownCause),
 }
 
-/// Why a head can't be read.
+/// Why a header or trailer can't be read.
 #[derive(Debug, Error)]
 #[error("the header `{name}` is missing or wrong: {cause}")]
 pub struct InvalidHeader {
@@ -106,14 +107,17 @@
     cause: String,
 }
 
-fn put<T: Serialize>(name: &'static str, value: &T, headers: &mut HeaderMap) {
+fn write_header<T: Serialize>(name: &'static str, value: &T, headers: &mut HeaderMap) {
     let text = serde_json::to_vec(value).unwrap_or_default();
     if let Ok(value) = HeaderValue::from_bytes(&text) {
         headers.insert(name, value);
     }
 }
 
-fn take<T: DeserializeOwned>(name: &'static str, headers: &HeaderMap) -> Result<T, InvalidHeader> {
+fn read_header<T: DeserializeOwned>(
+    name: &'static str,
+    headers: &HeaderMap,
+) -> Result<T, InvalidHeader> {
     let value = headers
         .get(name)
         .ok_or_else(|| InvalidHeader { name, cause: "it is missing".to_owned() })?;
@@ -121,39 +125,39 @@
         .map_err(|error| InvalidHeader { name, cause: error.to_string() })
 }
 
-macro_rules! in_header {
+macro_rules! impl_header_codec {
     ($kind:ident, $name:ident) => {
         impl $kind {
-            /// Writes it to the header.
+            /// Writes the value to its header.
             pub fn write(&self, headers: &mut HeaderMap) {
-                put($name, self, headers);
+                write_header($name, self, headers);
             }
 
-            /// Reads it from the header.
+            /// Reads the value from its header.
             pub fn read(headers: &HeaderMap) -> Result<Self, InvalidHeader> {
-                take($name, headers)
+                read_header($name, headers)
             }
         }
     };
 }
 
-in_header!(Dispatch, HEAD);
-in_header!(Resume, HEAD);
-in_header!(Report, REPORT);
+impl_header_codec!(Dispatch, REQUEST_HEADER);
+impl_header_codec!(Resume, REQUEST_HEADER);
+impl_header_codec!(Report, REPORT_HEADER);
 
-/// The trailers that end an answer.
+/// The trailers that end the stream of an answer.
 pub fn end_trailers(end: &ResponseEnd) -> HeaderMap {
     let mut trailers = HeaderMap::new();
-    put(END, end, &mut trailers);
+    write_header(END_TRAILER, end, &mut trailers);
     trailers
 }
 
-/// Reads the end of an answer from its trailers.
+/// Reads from the trailers how the stream of an answer ended.
 pub fn parse_end_trailers(trailers: &HeaderMap) -> Result<ResponseEnd, InvalidHeader> {
-    take(END, trailers)
+    read_header(END_TRAILER, trailers)
 }
 
-/// The response that carries a refusal; its body is the refusal as JSON.
+/// The response for a refusal, and its body: the refusal as JSON.
 pub fn refusal_response(refusal: &Refusal) -> (Response<()>, Vec<u8>) {
     let mut response = Response::new(());
     *response.status_mut() = StatusCode::CONFLICT;
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,9 +1,9 @@
 //! Messages between the processes of the system.
 //!
-//! Requests travel from entry to agent as HTTP/2 streams: `POST /dispatch` with a [`Dispatch`] in the
-//! header and the caller's call as body, `POST /resume` with a [`Resume`]. The answer is a caller's answer
-//! with a [`Report`] in its header and an [`ResponseEnd`] in its trailers, or a [`Refusal`] as JSON under status 409.
-//! Control messages, all idempotent, travel over nng: see [`Control`].
+//! An entry sends requests to an agent as HTTP/2 streams: `POST /dispatch` with a [`Dispatch`] in the header and the body
+//! of the caller's request, or `POST /resume` with a [`Resume`]. The response is either the answer for the caller,
+//! with a [`Report`] in its header and a [`ResponseEnd`] in its trailers, or a [`Refusal`] as JSON under status 409.
+//! Control messages, which are all idempotent, are sent over nng: see [`Control`].
 
 mod control;
 mod dispatch;
--- a/components/wire/src/outcome.rs
+++ b/components/wire/src/outcome.rs
@@ -1,21 +1,21 @@
-//! How a request ends.
+//! The outcomes of requests.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use units::{Incarnation, Span};
 
-/// How a request ended; the three never mix.
+/// The outcome of a request; exactly one of the three applies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome<T> {
-    /// The endpoint ran it and the whole answer is here.
+    /// The endpoint ran the request, and the complete answer has arrived.
     Served(T),
-    /// It certainly did not run and never will.
+    /// The request certainly did not run and never will.
     NotRun(Refusal),
-    /// It may have run; nothing more can be learned in time.
+    /// The request may have run; whether it did can't be determined in time.
     Unknown(UnknownCause),
 }
 
-/// Why a request was not run; each is a proof that it did not and will not.
+/// Why a request was not run; each refusal guarantees that it has not run and never will.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case", tag = "refusal")]
 pub enum Refusal {
@@ -25,22 +25,22 @@
     /// The estimated wait is longer than the time left.
     #[error("the wait would be about {wait}, longer than the deadline allows")]
     Hopeless {
-        /// The estimate.
+        /// The estimated wait.
         wait: Span,
     },
     /// The queue is full.
     #[error("the queue is full")]
     Full {
-        /// When to come back.
+        /// When the caller should retry.
         retry: Span,
     },
-    /// The agent is leaving.
+    /// The agent is shutting down or its instance is being removed.
     #[error("the endpoint is leaving")]
     Leaving,
     /// The dispatch named another incarnation of the agent.
     #[error("the agent is incarnation {current}")]
     Incarnation {
-        /// The incarnation that answers.
+        /// The current incarnation of the agent.
         current: Incarnation,
     },
     /// The agent holds no grant for the model.
@@ -49,55 +49,55 @@
     /// The model could not be loaded.
     #[error("the model could not be loaded: {cause}")]
     LoadFailed {
-        /// What the engine said.
+        /// The error that the engine reported.
         cause: String,
     },
-    /// The request was cancelled while it waited, or its id is barred from running.
+    /// The request was cancelled while it waited, or its id is blocked from running.
     #[error("the request was cancelled before it ran")]
     Cancelled,
-    /// No endpoint is known that may serve the model.
+    /// No known endpoint may serve the model.
     #[error("no endpoint serves it now")]
     NoEndpoint {
-        /// When to come back.
+        /// When the caller should retry.
         retry: Span,
     },
     /// The log can't be written, so the idempotency key can't be claimed.
     #[error("the idempotency key can't be claimed now")]
     NoClaim {
-        /// When to come back.
+        /// When the caller should retry.
         retry: Span,
     },
     /// Another request holds the idempotency key.
     #[error("another request has used the idempotency key")]
     KeyTaken,
-    /// The endpoint itself refused before running it.
+    /// The endpoint itself refused the request before running it.
     #[error("the endpoint refused the request: {cause}")]
     Endpoint {
-        /// What it said.
+        /// The error that the endpoint reported.
         cause: String,
     },
-    /// The process ends before the request could start.
+    /// The process shut down before the request could start.
     #[error("the process is shutting down")]
     Shutdown,
 }
 
-/// Why an outcome is not known.
+/// Why the outcome of a request is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case", tag = "unknown")]
 pub enum UnknownCause {
-    /// The deadline came while it may have been running.
+    /// The deadline passed while the request may have been running.
     #[error("the deadline came while the request may have been running")]
     Deadline,
-    /// The agent that had it is gone.
+    /// The agent that had the request is gone.
     #[error("the agent that had the request is gone")]
     AgentGone,
-    /// The endpoint failed while running it.
+    /// The endpoint failed while running the request.
     #[error("the endpoint failed while running the request: {cause}")]
     Endpoint {
-        /// What was seen.
+        /// The failure that was observed.
         cause: String,
     },
-    /// Its answer is no longer kept.
+    /// The request ran, but its answer is no longer kept.
     #[error("the request ran, but its answer is no longer kept")]
     AnswerDropped,
 }
