--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -194,7 +194,7 @@
         tokio::spawn(async move {
             let (recorder, shutdown) = for_task;
             shutdown.reached(ShutdownPhase::Drain).await;
-            log::info!("process: shutting down after the work in flight has finished");
+            log::info!("process: shutdown requested; finishing the work in flight");
             recorder.record(recorder.event(Kind::Stopping));
         });
         Ok(Self { identity, recorder, shutdown, metrics })
--- a/components/record/src/lib.rs
+++ b/components/record/src/lib.rs
@@ -15,8 +15,8 @@
 /// The newest version of the record format that this code can apply.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// For how many offsets the ids of applied records are remembered. A record that is appended later than that after the
-/// offset that its writer had seen is void, so a repeated record is always recognized.
+/// For how many offsets the ids of applied records are remembered. A record that appears in the log more than this many
+/// offsets after the newest one that its writer had applied is void, so every repeated record is recognized.
 pub const RECORD_WINDOW_OFFSETS: u64 = 4096;
 
 /// How many cached checkpoints are kept per endpoint; every process keeps those of all endpoints in memory.
--- a/components/wire/src/outcome.rs
+++ b/components/wire/src/outcome.rs
@@ -34,7 +34,7 @@
         /// When the caller should retry.
         retry: Span,
     },
-    /// The agent is shutting down or its instance is being removed.
+    /// The agent accepts no new work: it is leaving, or it has no valid lease on its endpoint.
     #[error("the endpoint is leaving")]
     Leaving,
     /// The dispatch named another incarnation of the agent.
