--- a/components/peer/src/operation.rs
+++ b/components/peer/src/operation.rs
@@ -50,8 +50,8 @@
 
 impl Drop for Operation {
     fn drop(&mut self) {
-        // Closes the context rather than cancelling the operation: nng would free the context during the cancellation if
-        // the socket were closed at the same time.
+        // Closes the context rather than cancelling the operation: nng would free the context during the cancellation
+        // if the socket were closed at the same time.
         self.context.close();
         self.aio.wait();
     }
--- a/components/peer/src/server.rs
+++ b/components/peer/src/server.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// Answers requests with the handler until `stop` turns true or its sender is dropped; returns once the socket is bound.
+/// Answers requests with the handler until `stop` turns true or its sender is dropped; returns once the socket is
+/// bound.
 pub async fn serve<H, F>(
     addr: SocketAddr,
     stop: watch::Receiver<bool>,
--- a/components/peer/tests/ask.rs
+++ b/components/peer/tests/ask.rs
@@ -81,7 +81,7 @@
     assert_eq!(answer, Ok(Bytes::from_static(b"hello")));
 }
 
-/// Forwards bytes of connections until `silent` changes; a connection opened before the change then passes no more bytes.
+/// Forwards the bytes of connections. After a change of `silent`, connections opened before the change pass no more bytes.
 async fn forward(listener: TcpListener, to: SocketAddr, silent: watch::Receiver<u32>) {
     while let Ok((mut near, _)) = listener.accept().await {
         let mut silent = silent.clone();
--- a/components/process/src/metrics_server.rs
+++ b/components/process/src/metrics_server.rs
@@ -9,7 +9,8 @@
 
 use crate::StartError;
 
-/// Upper bounds of the histogram buckets, in seconds: from a few milliseconds in a batch to a load from the weight store.
+/// Upper bounds of the histogram buckets, in seconds: from a few milliseconds in a batch to a load from the weight
+/// store.
 const HISTOGRAM_BUCKETS_SECONDS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0];
 
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -44,8 +44,8 @@
 pub enum Workers {
     /// One thread per core of the machine.
     Cores,
-    /// One thread per core, but no more than this many, so that the memory and CPU time that a process uses do not depend
-    /// on the number of cores.
+    /// One thread per core, but no more than this many, so that what a process uses of the machine does not depend on
+    /// the number of cores.
     AtMost(usize),
 }
 
--- a/components/record/src/lib.rs
+++ b/components/record/src/lib.rs
@@ -1,7 +1,7 @@
 //! Records of the shared log, from which all processes compute the same state.
 //!
-//! A record is one JSON object. Its offset, which the log service assigns, is part of its meaning: the offset of a claim
-//! is the new planner epoch, the offset of an attach is the new incarnation, the offset of an edit is the new revision.
+//! A record is one JSON object. Its offset, which the log service assigns, is part of its meaning: the offset of a
+//! claim is the new planner epoch, that of an attach the new incarnation, that of an edit the new revision.
 
 use std::net::SocketAddr;
 
--- a/components/timeline/src/event.rs
+++ b/components/timeline/src/event.rs
@@ -72,8 +72,8 @@
 pub struct Event {
     /// The reading of the logical clock at the event.
     pub tick: Tick,
-    /// The wall-clock time in milliseconds since 1970, for display. Only breaks ties between equal ticks when events are
-    /// sorted.
+    /// The wall-clock time in milliseconds since 1970, for display; when events are sorted, it only breaks ties
+    /// between equal ticks.
     pub wall: u64,
     /// The instance on which the event happened.
     pub instance: InstanceId,
--- a/components/web/src/channel.rs
+++ b/components/web/src/channel.rs
@@ -1,4 +1,4 @@
-//! A response body that a task writes piece by piece.
+//! A body that a task writes chunk by chunk.
 
 use std::io;
 use std::pin::Pin;
--- a/components/web/src/server.rs
+++ b/components/web/src/server.rs
@@ -63,7 +63,8 @@
     TcpListener::bind(addr).await.map_err(|cause| BindError { addr, cause })
 }
 
-/// Serves until `stop` turns true, or its sender is dropped; then finishes the requests in flight and closes all connections.
+/// Serves until `stop` turns true or its sender is dropped; then finishes the requests in flight and closes all
+/// connections.
 pub async fn serve<H, F>(
     listener: Listener,
     options: ServeOptions,
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes of the system.
 //!
-//! An entry sends requests to an agent as HTTP/2 streams: `POST /dispatch` with a [`Dispatch`] in the header and the body
-//! of the caller's request, or `POST /resume` with a [`Resume`]. The response is either the answer for the caller,
+//! An entry sends requests to an agent as HTTP/2 streams: `POST /dispatch` with a [`Dispatch`] in the header and the
+//! body of the caller's request, or `POST /resume` with a [`Resume`]. The response is either the answer for the caller,
 //! with a [`Report`] in its header and a [`ResponseEnd`] in its trailers, or a [`Refusal`] as JSON under status 409.
 //! Control messages, which are all idempotent, are sent over nng: see [`Control`].
 
