--- a/components/agent/src/run.rs
+++ b/components/agent/src/run.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use edge::{Endpoint, HttpEndpoint, HttpList, HttpLog, InstanceList, LogService};
-use peer::Ask;
+use peer::Transport;
 use policy::Calendar;
-use process::{Phase, Process, Shutdown, StartError};
+use process::{Process, Shutdown, ShutdownPhase, StartError};
 use timeline::Recorder;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -27,7 +27,7 @@
     /// The endpoint.
     pub endpoint: Arc<dyn Endpoint>,
     /// The network between peers.
-    pub network: Arc<dyn Ask>,
+    pub network: Arc<dyn Transport>,
     /// What closing windows are read against.
     pub calendar: Calendar,
 }
@@ -80,7 +80,7 @@
 }
 
 /// An agent that needs news of the log to order its endpoint asks for it more often than its lease lasts.
-fn journal_options(settings: &Settings, network: Arc<dyn Ask>) -> journal::Options {
+fn journal_options(settings: &Settings, network: Arc<dyn Transport>) -> journal::Options {
     let seeds = settings.seeds.clone();
     let mut options = journal::Options { seeds, network, ..Default::default() };
     if let Some(lease) = settings.lease() {
@@ -111,7 +111,7 @@
 pub(crate) async fn lead(agent: Arc<Agent>, list: &dyn InstanceList) -> Result<(), StartError> {
     tokio::select! {
         attached = attach::attach(&agent) => { attached.map_err(StartError::new)?; }
-        () = agent.shutdown.reached(Phase::Drain) => return Ok(()),
+        () = agent.shutdown.reached(ShutdownPhase::Drain) => return Ok(()),
     }
     let mut tasks = JoinSet::new();
     tasks.spawn(sweep(agent.clone()));
@@ -137,7 +137,7 @@
     };
     let leaving = async {
         tokio::select! {
-            () = agent.shutdown.reached(Phase::Drain) => {}
+            () = agent.shutdown.reached(ShutdownPhase::Drain) => {}
             () = drain::listed_leaving(agent, list) => {}
         }
         drain::drain(agent).await;
--- a/components/agent/src/run/tests/http.rs
+++ b/components/agent/src/run/tests/http.rs
@@ -8,12 +8,12 @@
 use http_body_util::Full;
 use hyper::client::conn::http2::{self, SendRequest};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use process::{Phase, Shutdown};
+use process::{Shutdown, ShutdownPhase};
 use timeline::{Recorder, Tick};
 use tokio::net::TcpStream;
 use tree::Class;
 use units::{Incarnation, Span};
-use wire::{Dispatch, End, Resume};
+use wire::{Dispatch, ResponseEnd, Resume};
 
 use super::world::{Answer, World, id, read, settings, until};
 use crate::EndpointKind;
@@ -87,10 +87,10 @@
     let answer = second.send_request(resume(agent.incarnation(), 3)).await.expect("a head");
     let Answer::Served { text, end, .. } = read(answer).await else { panic!("not served") };
     assert!(text.starts_with("t1 t2 ") && text.ends_with("t39 "), "{text}");
-    assert_eq!(end, Some(End::Whole { length: text.len() as u64 + 3 }));
+    assert_eq!(end, Some(ResponseEnd::Whole { length: text.len() as u64 + 3 }));
     assert_eq!(world.engine.truth().executions["r-1"], 1);
 
-    phase.send_replace(Phase::Drain);
+    phase.send_replace(ShutdownPhase::Drain);
     task.await.expect("a task that ends").expect("an agent that ends well");
     assert!(world.engine.loaded().is_empty());
 }
--- a/components/agent/src/run/tests/world.rs
+++ b/components/agent/src/run/tests/world.rs
@@ -10,9 +10,9 @@
 use edge::{Endpoint, LogError, LogService, Page, Stream};
 use http::{Request, StatusCode};
 use http_body_util::BodyExt;
-use peer::{Ask, AskError};
+use peer::{PeerError, Transport};
 use policy::Calendar;
-use process::{Identity, Phase, Shutdown};
+use process::{Identity, Shutdown, ShutdownPhase};
 use record::{Attach, Body, Decision, GrantId, Record};
 pub(crate) use sample::{add, id, set};
 use serde_json::json;
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 use tree::{Change, Class, Edit, NodeKind};
 use units::{Epoch, Incarnation, Offset, Revision, Size, Span};
-use wire::{Control, Dispatch, End, Refusal, Reply, Report, Resume, UnknownCause};
+use wire::{Control, Dispatch, Refusal, Reply, Report, ResponseEnd, Resume, UnknownCause};
 
 use crate::agent::Agent;
 use crate::desk::Closed;
@@ -57,13 +57,13 @@
 }
 
 #[async_trait]
-impl Ask for Network {
-    async fn ask(
+impl Transport for Network {
+    async fn request(
         &self,
         addr: SocketAddr,
         message: Bytes,
         _limit: Duration,
-    ) -> Result<Bytes, AskError> {
+    ) -> Result<Bytes, PeerError> {
         let control = serde_json::from_slice(&message).expect("a message");
         if matches!(control, Control::Wake { .. }) {
             self.asked.lock().expect("a lock").push((addr, control));
@@ -112,7 +112,7 @@
 /// An agent that runs in the world.
 pub(crate) struct Running {
     pub(crate) agent: Arc<Agent>,
-    pub(crate) phase: watch::Sender<Phase>,
+    pub(crate) phase: watch::Sender<ShutdownPhase>,
     pub(crate) task: JoinHandle<()>,
     pub(crate) cut: Wire,
 }
@@ -120,7 +120,7 @@
 /// How an exchange with the agent ended.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Answer {
-    Served { text: String, end: Option<End>, report: Report },
+    Served { text: String, end: Option<ResponseEnd>, report: Report },
     NotRun { refusal: Refusal, report: Option<Report> },
     Unknown(UnknownCause),
     Other(StatusCode),
@@ -130,7 +130,7 @@
     /// The whole text, if it came whole.
     pub(crate) fn whole(&self) -> Option<&str> {
         match self {
-            Self::Served { text, end: Some(End::Whole { length }), .. }
+            Self::Served { text, end: Some(ResponseEnd::Whole { length }), .. }
                 if *length == text.len() as u64 =>
             {
                 Some(text)
@@ -391,7 +391,7 @@
     pub(crate) async fn die(&self) {
         self.task.abort();
         self.agent.desk().close(Closed::Leaving);
-        self.phase.send_replace(Phase::Force);
+        self.phase.send_replace(ShutdownPhase::Force);
         until(|| self.running() == 0).await;
     }
 
@@ -424,7 +424,7 @@
             Ok(data) => bytes.extend(data),
             Err(frame) => {
                 let trailers = frame.into_trailers().expect("data or trailers");
-                end = wire::end_from(&trailers).ok();
+                end = wire::parse_end_trailers(&trailers).ok();
             }
         }
     }
--- a/components/entry/src/core.rs
+++ b/components/entry/src/core.rs
@@ -7,14 +7,14 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use journal::{Journal, Keys};
-use process::{Phase, Shutdown};
+use process::{Shutdown, ShutdownPhase};
 use serde::Serialize;
 use timeline::{Kind, Recorder};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tree::NodeKind;
 use units::{Domain, InstanceId, RequestId, Size, Span};
-use web::{Body, ReadError};
+use web::{Body, BodyError};
 use wire::{Outcome, Refusal};
 
 use crate::answer;
@@ -136,7 +136,7 @@
                 answer::invalid(&id, &invalid)
             }
         };
-        if self.shutdown.phase() >= Phase::Drain {
+        if self.shutdown.phase() >= ShutdownPhase::Drain {
             answer::close(&mut response);
         }
         response
@@ -161,8 +161,8 @@
         let read = web::read(body, self.body_limit);
         let read = tokio::time::timeout(limit, read).await.map_err(|_| past())?;
         let body = read.map_err(|error| match error {
-            ReadError::Large { limit } => Invalid::Large { limit },
-            ReadError::Cut(cause) => Invalid::Cut(cause),
+            BodyError::TooLarge { limit } => Invalid::Large { limit },
+            BodyError::Truncated(cause) => Invalid::Cut(cause),
         })?;
         let call =
             self.journal.read(|state| head.resolve(id.clone(), arrived, body, state.tree()))?;
--- a/components/process/src/admin.rs
+++ b/components/process/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin server: health, metrics, time line and status.
+//! The admin server: health, metrics, timeline of events, and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use timeline::Recorder;
 use web::Body;
 
-/// Makes the JSON of `/status` on demand.
-pub type Status = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
+/// Computes the JSON that `/status` answers with.
+pub type StatusProvider = Arc<dyn Fn() -> serde_json::Value + Send + Sync>;
 
 #[derive(Clone)]
 pub(crate) struct Admin {
     pub(crate) metrics: PrometheusHandle,
     pub(crate) recorder: Recorder,
-    pub(crate) status: Status,
+    pub(crate) status: StatusProvider,
 }
 
 impl Admin {
-    pub(crate) async fn answer(
+    pub(crate) async fn respond(
         self,
         request: Request<Incoming>,
         _peer: SocketAddr,
--- a/components/process/src/lib.rs
+++ b/components/process/src/lib.rs
@@ -1,20 +1,21 @@
-//! What every process shares: settings files, logs, signals and the admin server.
+//! What the programs share: command line, settings files, logs, signals, metrics and the admin server.
 
 mod admin;
 mod args;
-mod metered;
-mod pulse;
+mod metrics_server;
 mod reload;
 mod settings;
 mod shutdown;
+mod stall;
 mod start;
 
-pub use admin::Status;
+pub use admin::StatusProvider;
 pub use args::{Args, ArgsError, parse_args};
-pub use metered::serve_metrics;
-pub use pulse::Pulse;
-pub use settings::{Identity, SettingsError, load, parse};
-pub use shutdown::{Phase, Shutdown};
+pub use metrics_server::serve_metrics;
+pub use settings::{Identity, SettingsError, load_settings, parse_settings};
+pub use shutdown::{Shutdown, ShutdownPhase};
+pub use stall::StallDetector;
 pub use start::{
-    EXIT_FAILURE, EXIT_USAGE, Process, Single, StartError, Workers, run, run_single, spawn_admin,
+    EXIT_FAILURE, EXIT_USAGE, Process, SingleThreadProcess, StartError, Workers, run,
+    run_single_threaded, spawn_admin,
 };
--- a/components/process/src/start.rs
+++ b/components/process/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting a process: arguments, logs, metrics, signals, admin server.
+//! Starts a program: arguments, logs, metrics, signals and admin server.
 
 use std::future::Future;
 use std::num::NonZero;
@@ -17,31 +17,35 @@
 use tokio::task::JoinHandle;
 
 use crate::admin::Admin;
-use crate::{Args, Identity, Phase, Pulse, Shutdown, Status, load, parse_args, reload};
+use crate::{
+    Args, Identity, Shutdown, ShutdownPhase, StallDetector, StatusProvider, load_settings,
+    parse_args, reload,
+};
 
 /// The exit code of a process that failed while running.
 pub const EXIT_FAILURE: u8 = 1;
-/// The exit code of a wrong command line or settings file.
+/// The exit code of a process whose command line or settings file is invalid.
 pub const EXIT_USAGE: u8 = 2;
 
-/// What a running process shares with its tasks.
+/// What a multi-threaded program shares with its tasks.
 #[derive(Debug, Clone)]
 pub struct Process {
-    /// Who it is.
+    /// The identity of the process.
     pub identity: Identity,
-    /// Its events.
+    /// The recorder of the process's events.
     pub recorder: Recorder,
-    /// Its shutdown.
+    /// The shutdown of the process.
     pub shutdown: Shutdown,
     metrics: PrometheusHandle,
 }
 
-/// How many threads run a process's tasks.
+/// The number of worker threads that run a process's tasks.
 #[derive(Debug, Clone, Copy)]
 pub enum Workers {
-    /// As many as the machine has cores.
+    /// One thread per core of the machine.
     Cores,
-    /// No more than these, so that what a process takes does not depend on the cores of its machine.
+    /// One thread per core, but no more than this many, so that what a process uses of the machine does not depend on
+    /// the number of cores.
     AtMost(usize),
 }
 
@@ -50,39 +54,39 @@
         let cores = std::thread::available_parallelism().map_or(1, NonZero::get);
         match self {
             Self::Cores => cores,
-            Self::AtMost(most) => cores.min(most).max(1),
+            Self::AtMost(limit) => cores.min(limit).max(1),
         }
     }
 }
 
-/// Why a process could not start or had to end.
+/// Why a process could not start or had to stop.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct StartError(Box<dyn std::error::Error + Send + Sync>);
 
 impl StartError {
-    /// Wraps the cause.
+    /// Wraps the cause of the failure.
     pub fn new(cause: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
         Self(cause.into())
     }
 }
 
-/// What a process of one thread shares with its tasks.
+/// What a single-threaded program shares with its tasks.
 #[derive(Debug, Clone)]
-pub struct Single<T> {
-    /// Its settings, read again when the file changes; addresses take effect at a start only.
+pub struct SingleThreadProcess<T> {
+    /// The settings, reloaded when the file changes; a changed address takes effect only at the next start.
     pub settings: watch::Receiver<Arc<T>>,
-    /// Notices that the machine stood still.
-    pub pulse: Arc<Pulse>,
-    /// Its shutdown.
+    /// Detects that the machine was suspended or frozen.
+    pub stall_detector: Arc<StallDetector>,
+    /// The shutdown of the process.
     pub shutdown: Shutdown,
 }
 
-/// Runs a program on one thread: small machines have one core and pay for memory.
-pub fn run_single<T, B, F>(about: &str, instance: fn(&T) -> &str, body: B) -> ExitCode
+/// Runs a program on one thread, because small machines have one core and threads cost memory.
+pub fn run_single_threaded<T, B, F>(about: &str, instance: fn(&T) -> &str, body: B) -> ExitCode
 where
     T: DeserializeOwned + Send + Sync + 'static,
-    B: FnOnce(Single<T>) -> F,
+    B: FnOnce(SingleThreadProcess<T>) -> F,
     F: Future<Output = Result<(), StartError>>,
 {
     launch(about, |settings: T, file| {
@@ -90,26 +94,26 @@
             Ok(runtime) => runtime,
             Err(error) => return failure(&error),
         };
-        let ended = runtime.block_on(async {
+        let result = runtime.block_on(async {
             let program = about.split(':').next().unwrap_or(about);
             events::install(instance(&settings)).map_err(StartError::new)?;
             let shutdown = Shutdown::on_signals().map_err(StartError::new)?;
             events::emit(&Event::Started { program, version: env!("CARGO_PKG_VERSION") });
             let (sender, settings) = watch::channel(Arc::new(settings));
             tokio::spawn(reload::follow(file, sender));
-            let pulse = Arc::new(Pulse::default());
-            let beating = pulse.clone();
-            tokio::spawn(async move { beating.run().await });
-            body(Single { settings, pulse, shutdown }).await
+            let stall_detector = Arc::new(StallDetector::default());
+            let detector = stall_detector.clone();
+            tokio::spawn(async move { detector.run().await });
+            body(SingleThreadProcess { settings, stall_detector, shutdown }).await
         });
-        match ended {
+        match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => failure(&error),
         }
     })
 }
 
-/// Runs a server program: reads its arguments and settings file, starts the runtime and the body.
+/// Runs a multi-threaded server program: reads its arguments and settings file, starts the runtime, and runs the body.
 pub fn run<T, B, F>(
     about: &str,
     workers: Workers,
@@ -124,8 +128,11 @@
     launch(about, |settings: T, _| serve(settings, workers, identity, body))
 }
 
-/// Reads the arguments and the settings file, and starts the rest.
-fn launch<T: DeserializeOwned>(about: &str, rest: impl FnOnce(T, PathBuf) -> ExitCode) -> ExitCode {
+/// Reads the arguments and the settings file, then calls `start` with the settings; other actions end here.
+fn launch<T: DeserializeOwned>(
+    about: &str,
+    start: impl FnOnce(T, PathBuf) -> ExitCode,
+) -> ExitCode {
     let file = match parse_args(std::env::args_os()) {
         Ok(Args::Help) => {
             println!(
@@ -141,11 +148,11 @@
         Ok(Args::Run(file)) => file,
         Err(error) => return usage(&error),
     };
-    let settings: T = match load(&file) {
+    let settings: T = match load_settings(&file) {
         Ok(settings) => settings,
         Err(error) => return usage(&error),
     };
-    rest(settings, file)
+    start(settings, file)
 }
 
 fn serve<T, B, F>(settings: T, workers: Workers, identity: fn(&T) -> &Identity, body: B) -> ExitCode
@@ -153,21 +160,21 @@
     B: FnOnce(T, Process) -> F,
     F: Future<Output = Result<(), StartError>>,
 {
-    let who = identity(&settings).clone();
-    init_logs(&who);
+    let identity = identity(&settings).clone();
+    init_logs(&identity);
     let runtime = match runtime(workers) {
         Ok(runtime) => runtime,
         Err(error) => return failure(&error),
     };
-    let ended = runtime.block_on(async {
-        let process = Process::start(who)?;
+    let result = runtime.block_on(async {
+        let process = Process::start(identity)?;
         let recorder = process.recorder.clone();
         recorder.record(recorder.event(Kind::Started));
-        let ended = body(settings, process).await;
+        let result = body(settings, process).await;
         recorder.record(recorder.event(Kind::Stopped));
-        ended
+        result
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => failure(&error),
     }
@@ -183,32 +190,35 @@
         let recorder = Recorder::new(identity.instance.clone());
         let shutdown = Shutdown::on_signals().map_err(StartError::new)?;
         let metrics = PrometheusBuilder::new().install_recorder().map_err(StartError::new)?;
-        let stopping = (recorder.clone(), shutdown.clone());
+        let for_task = (recorder.clone(), shutdown.clone());
         tokio::spawn(async move {
-            let (recorder, shutdown) = stopping;
-            shutdown.reached(Phase::Drain).await;
-            log::info!("process: stopping after the work in flight");
+            let (recorder, shutdown) = for_task;
+            shutdown.reached(ShutdownPhase::Drain).await;
+            log::info!("process: shutdown requested; finishing the work in flight");
             recorder.record(recorder.event(Kind::Stopping));
         });
         Ok(Self { identity, recorder, shutdown, metrics })
     }
 }
 
-/// Binds and starts the admin server, which lives until the runtime ends, so that a drain can be watched.
-pub async fn spawn_admin(process: &Process, status: Status) -> Result<JoinHandle<()>, StartError> {
+/// Binds and starts the admin server, which runs until the runtime stops, so that a drain can be observed.
+pub async fn spawn_admin(
+    process: &Process,
+    status: StatusProvider,
+) -> Result<JoinHandle<()>, StartError> {
     let listener = web::bind(process.identity.admin).await.map_err(StartError::new)?;
     let admin =
         Admin { metrics: process.metrics.clone(), recorder: process.recorder.clone(), status };
-    let (keep, never) = tokio::sync::watch::channel(false);
+    let (stop_sender, stop) = tokio::sync::watch::channel(false);
     Ok(tokio::spawn(async move {
-        let handler = move |request, peer| admin.clone().answer(request, peer);
-        web::serve(listener, web::ServeOptions::default(), never, handler).await;
-        drop(keep);
+        let handler = move |request, peer| admin.clone().respond(request, peer);
+        web::serve(listener, web::ServeOptions::default(), stop, handler).await;
+        drop(stop_sender);
     }))
 }
 
 fn check<T: DeserializeOwned>(file: &Path) -> ExitCode {
-    match load::<T>(file) {
+    match load_settings::<T>(file) {
         Ok(_) => {
             println!("{}: settings are right", file.display());
             ExitCode::SUCCESS
@@ -237,6 +247,6 @@
     let started =
         TermLogger::init(identity.log.into(), config, TerminalMode::Stderr, ColorChoice::Never);
     if started.is_err() {
-        eprintln!("process: the logger is set already");
+        eprintln!("process: the logger is already initialized");
     }
 }
--- a/components/router/src/request.rs
+++ b/components/router/src/request.rs
@@ -11,10 +11,10 @@
 use http::{Request, Response, StatusCode, request};
 use hyper::body::Incoming;
 use platform::RequestHeaders;
-use process::Phase;
+use process::ShutdownPhase;
 use quarantine::Digest;
 use tokio::time::Instant;
-use web::{Body, ReadError};
+use web::{Body, BodyError};
 
 use crate::access::{self, Identity};
 use crate::caller::CallerConnection;
@@ -84,7 +84,7 @@
         Ok(response) => response,
         Err(failure) => refusal_response(&guard.request_log, id.as_ref(), failure),
     };
-    if shared.shutdown.phase() != Phase::Run {
+    if shared.shutdown.phase() != ShutdownPhase::Run {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     guard.has_response = true;
@@ -148,10 +148,10 @@
     };
     let body = match read {
         Ok(body) => body,
-        Err(ReadError::Large { .. }) => {
+        Err(BodyError::TooLarge { .. }) => {
             return Err(failure(StatusCode::PAYLOAD_TOO_LARGE, Refusal::Malformed, None));
         }
-        Err(ReadError::Cut(_)) => return Err(malformed()),
+        Err(BodyError::Truncated(_)) => return Err(malformed()),
     };
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let caller_id = match identity.workspace() {
--- a/components/router/src/shared.rs
+++ b/components/router/src/shared.rs
@@ -10,7 +10,7 @@
 use control::{EndpointState, KeyedRecord, LoaderClient, Position};
 use events::{Event, emit};
 use platform::{Health, Store};
-use process::{Pulse, Shutdown, Single};
+use process::{Shutdown, SingleThreadProcess, StallDetector};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 use units::{Domain, EndpointId, Revision, ServiceName, Span, StorePosition};
@@ -81,7 +81,7 @@
     pub(crate) settings: watch::Receiver<Arc<Settings>>,
     pub(crate) instance: String,
     pub(crate) domain: Domain,
-    pub(crate) pulse: Arc<Pulse>,
+    pub(crate) stall_detector: Arc<StallDetector>,
     pub(crate) catalog: watch::Sender<Option<Arc<Catalog>>>,
     pub(crate) endpoints: EndpointRegistry,
     pub(crate) shutdown: Shutdown,
@@ -108,14 +108,16 @@
 impl Shared {
     /// Creates the shared state, and the queue of records that the crash guard wants written to
     /// the store.
-    pub(crate) fn new(process: &Single<Settings>) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
+    pub(crate) fn new(
+        process: &SingleThreadProcess<Settings>,
+    ) -> (Self, mpsc::UnboundedReceiver<KeyedRecord>) {
         let settings = process.settings.borrow().clone();
         let (guard, records) = CrashGuard::new(settings.instance.to_string());
         let shared = Self {
             settings: process.settings.clone(),
             instance: settings.instance.to_string(),
             domain: settings.domain.clone(),
-            pulse: process.pulse.clone(),
+            stall_detector: process.stall_detector.clone(),
             catalog: watch::Sender::new(None),
             endpoints: EndpointRegistry::default(),
             shutdown: process.shutdown.clone(),
--- a/components/state/src/rules.rs
+++ b/components/state/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules by which records change the state.
 
-use record::{Attach, Body, CACHED_MOST, Decision, GrantId, Record};
+use record::{Attach, Body, Decision, GrantId, MAX_CACHED_CHECKPOINTS, Record};
 use tree::Edit;
 use units::{EndpointId, Epoch, Incarnation, InstanceId, Offset, Revision};
 
@@ -16,11 +16,11 @@
         if let Some(void) = self.unready(offset) {
             return Applied::void(offset, void);
         }
-        if record.needs > record::FORMAT {
+        if record.needs > record::FORMAT_VERSION {
             return self.freeze(offset, record.needs);
         }
         self.advance(offset);
-        if record.needs < record.body.since() {
+        if record.needs < record.body.format_version() {
             let cause = format!("format {} has no such kind", record.needs);
             return Applied::void(offset, Void::Malformed(cause));
         }
@@ -199,7 +199,7 @@
             return Err(Void::Instance { current: member.attach.instance.clone() });
         }
         let mut attach = attach.clone();
-        attach.cached.truncate(CACHED_MOST);
+        attach.cached.truncate(MAX_CACHED_CHECKPOINTS);
         attach.cached.iter_mut().for_each(|name| self.names.share(name));
         let endpoint = attach.endpoint.clone();
         let member = Member { attach, incarnation: offset.into(), leaving: false };
--- a/components/web/src/lib.rs
+++ b/components/web/src/lib.rs
@@ -1,11 +1,11 @@
-//! HTTP servers and clients over hyper: the plumbing that every process needs.
+//! HTTP servers, clients and bodies on top of hyper, shared by all processes.
 
 mod body;
 mod channel;
 mod client;
 mod server;
 
-pub use body::{Body, ReadError, empty, full, json, read, text};
-pub use channel::{Closed, Writer, channel};
+pub use body::{Body, BodyError, empty, full, json, read, text};
+pub use channel::{BodyWriter, Closed, channel};
 pub use client::{CallError, Client};
 pub use server::{BindError, Listener, Protocol, ServeOptions, bind, serve, stopped};
