--- a/components/load/src/soak.rs
+++ b/components/load/src/soak.rs
@@ -18,7 +18,7 @@
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standin_platform::{Act, Fault, Harm};
+use standin_platform::{Behavior, LinkFault, StoreFault};
 use tokio::time::{Instant, sleep};
 
 use crate::children::ChildError;
@@ -142,38 +142,41 @@
     let (link, router) = (&world.links[number], world.router_of(number));
     let process = rng.random_range(0..world.processes());
     match rng.random_range(0..24) {
-        0 => plain.act([Act::Reset, Act::Foreign, Act::Unsigned]),
-        1 => plain.act([Act::Cut, Act::Fail]),
-        2 => plain.act(vec![Act::Shed; 6]),
-        3 => plain.act([Act::Stall, Act::Slow(Duration::from_millis(300))]),
-        4 => engine.act([Act::Events(1, 3, false), Act::Reset]),
-        5 => engine.act(vec![Act::Shed; 3]),
+        0 => plain.queue_behaviors([Behavior::Reset, Behavior::WrongRequestId, Behavior::Unsigned]),
+        1 => plain.queue_behaviors([Behavior::Truncated, Behavior::Fail]),
+        2 => plain.queue_behaviors(vec![Behavior::Shed; 6]),
+        3 => plain.queue_behaviors([Behavior::Stall, Behavior::Slow(Duration::from_millis(300))]),
+        4 => engine.queue_behaviors([Behavior::Events(1, 3, false), Behavior::Reset]),
+        5 => engine.queue_behaviors(vec![Behavior::Shed; 3]),
         6 => engine.freeze(true),
         7 | 8 if calm => {}
         7 | 8 => {
             shared.disturbed.begin(None);
-            shared.store.fail([Fault::Busy, Fault::Silent][rng.random_range(0..2)]);
+            shared.store.set_fault(
+                [StoreFault::Unavailable, StoreFault::Unresponsive][rng.random_range(0..2)],
+            );
         }
-        9 => shared.store.forget(),
+        9 => shared.store.compact_config_and_servers(),
         10 => world.configure(),
-        11 => shared.store.list(plain, "app", Some("draining")),
+        11 => shared.store.list_server(plain, "app", Some("draining")),
         12 => {
             shared.disturb_link(router);
-            link.harm(Harm::Cut);
+            link.set_fault(LinkFault::Cut);
         }
-        13 => link.harm(Harm::Lossy),
-        14 => link.harm(Harm::Slow(Duration::from_millis(rng.random_range(5..80)))),
+        13 => link.set_fault(LinkFault::Lossy),
+        14 => link.set_fault(LinkFault::Slow(Duration::from_millis(rng.random_range(5..80)))),
         15 => {
             shared.disturb_link(router);
-            link.silence();
+            link.stall_connections();
         }
-        16 => link.reset(),
+        16 => link.reset_connections(),
         17 => world.signal(process, Signal::SIGTERM)?,
         18 => world.signal(process, Signal::SIGKILL)?,
-        19 => plain.leave(),
-        20 => engine.leave(),
-        21 => plain.act([Act::Away(format!("{:.1}", rng.random_range(0.6..2.5)))]),
-        22 => plain.end(DOWN),
+        19 => plain.start_draining(),
+        20 => engine.start_draining(),
+        21 => plain
+            .queue_behaviors([Behavior::RetryAfter(format!("{:.1}", rng.random_range(0.6..2.5)))]),
+        22 => plain.terminate(DOWN),
         _ => world.pause(process, Duration::from_millis(rng.random_range(200..PAUSED)))?,
     }
     Ok(())
--- a/components/load/src/soak/keys.rs
+++ b/components/load/src/soak/keys.rs
@@ -116,7 +116,7 @@
         let state = self.lock();
         let mut broken = Vec::new();
         let mut hot = Vec::new();
-        for seen in servers.iter().flat_map(Server::seen) {
+        for seen in servers.iter().flat_map(Server::received_requests) {
             let id = seen.header("request-id").unwrap_or("");
             if seen.header("authorization").is_some() {
                 broken.push(format!("a server saw the key of {id}"));
--- a/components/load/src/soak/world.rs
+++ b/components/load/src/soak/world.rs
@@ -8,7 +8,10 @@
 
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
-use standin_platform::{Act, Call, Fault, Harm, Link, Server, Store, broken, engine, unheeded};
+use standin_platform::{
+    Behavior, Call, Link, LinkFault, Server, Store, StoreFault, engine, find_violations,
+    ignored_hints,
+};
 use tokio::time::{Instant, sleep};
 
 use super::callers::name;
@@ -103,14 +106,14 @@
         let (mut links, mut children) = (Vec::new(), Vec::new());
         for index in 0..3 {
             let server = Server::plain(&format!("p-{index}")).await;
-            store.list(&server, "app", Some("ready"));
+            store.list_server(&server, "app", Some("ready"));
             plain.push(server);
         }
         for (index, loaded) in (0_u8..).zip([["a", "b"], ["b", "c"]]) {
             let (near, behind) = (addresses.ip(50 + index), addresses.ip(80 + index));
             let server = Server::engine(&format!("e-{index}"), near, engine(&loaded)).await;
-            server.always(Act::Events(1, 6, true));
-            store.list(&server, "llm", Some("ready"));
+            server.set_default_behavior(Behavior::Events(1, 6, true));
+            store.list_server(&server, "llm", Some("ready"));
             links.push(Link::start((near, LOADER).into(), (behind, LOADER).into()).await);
             let to_store = Link::start((behind, 0).into(), store.addr).await;
             let settings = json!({"instance": format!("side-{index}"), "listen": SocketAddr::from((behind, LOADER)),
@@ -180,12 +183,12 @@
     /// The store comes back from a copy that is so old, and the operator and the servers write again what they wrote.
     pub(super) fn restore(&self, age: Duration) {
         let Shared { store, plain, engines, keys, .. } = &*self.shared;
-        store.restore(age);
+        store.restore_backup(age);
         store.put("keyed.op", "config", &keys.configuration(self.version, &KINDS));
         for (servers, service) in [(plain, "app"), (engines, "llm")] {
             for server in servers {
-                let state = if server.leaves() { "draining" } else { "ready" };
-                store.list(server, service, Some(state));
+                let state = if server.is_draining() { "draining" } else { "ready" };
+                store.list_server(server, service, Some(state));
             }
         }
         self.shared.disturbed.note_moment();
@@ -216,11 +219,11 @@
     pub(super) fn tend(&mut self) -> Result<(), ChildError> {
         let now = Instant::now();
         let servers = self.shared.plain.iter().chain(&self.shared.engines);
-        for server in servers.filter(|server| server.leaves()) {
+        for server in servers.filter(|server| server.is_draining()) {
             // What leaves serves on for a while, and another life follows.
-            let said = server.announced();
-            let mut said = said.iter().filter(|said| said.life == server.life());
-            if said.any(|said| said.until.is_none() && now - said.at > LEAVING) {
+            let said = server.sent_hints();
+            let mut said = said.iter().filter(|said| said.incarnation == server.incarnation());
+            if said.any(|said| said.paused_until.is_none() && now - said.at > LEAVING) {
                 server.restart();
             }
         }
@@ -241,18 +244,18 @@
     /// Mends links, store and servers.
     pub(super) fn mend(&self) {
         let Shared { store, plain, engines, .. } = &*self.shared;
-        store.fail(Fault::None);
-        self.links.iter().for_each(|link| link.harm(Harm::None));
+        store.set_fault(StoreFault::None);
+        self.links.iter().for_each(|link| link.set_fault(LinkFault::None));
         engines.iter().for_each(|server| server.freeze(false));
-        plain.iter().for_each(|server| store.list(server, "app", Some("ready")));
-        engines.iter().for_each(|server| store.list(server, "llm", Some("ready")));
+        plain.iter().for_each(|server| store.list_server(server, "app", Some("ready")));
+        engines.iter().for_each(|server| store.list_server(server, "llm", Some("ready")));
         self.shared.disturbed.end(None);
     }
 
     /// Wakes all processes and starts those that have ended.
     pub(super) async fn revive(&mut self) -> Result<(), ChildError> {
         let servers = self.shared.plain.iter().chain(&self.shared.engines);
-        servers.filter(|server| server.leaves()).for_each(Server::restart);
+        servers.filter(|server| server.is_draining()).for_each(Server::restart);
         self.mend();
         for child in &mut self.children {
             child.wake()?;
@@ -313,8 +316,10 @@
     /// The promises that were broken, a line each.
     pub(super) fn broken(&self) -> Vec<String> {
         let servers: Vec<Server> = self.plain.iter().chain(&self.engines).cloned().collect();
-        let mut all = broken(&self.calls(), &servers);
-        all.extend(unheeded(&servers, DRAIN, |router, from, to| self.stopped(router, from, to)));
+        let mut all = find_violations(&self.calls(), &servers);
+        all.extend(ignored_hints(&servers, DRAIN, |router, from, to| {
+            self.stopped(router, from, to)
+        }));
         all.extend(self.sent_on());
         all.extend(self.keys.broken(&servers));
         all
@@ -322,10 +327,10 @@
 
     /// Whether the poisoned request was sent on beyond what is allowed.
     fn sent_on(&self) -> Option<String> {
-        let mut ends: Vec<Instant> = self.plain.iter().flat_map(Server::ends).collect();
+        let mut ends: Vec<Instant> = self.plain.iter().flat_map(Server::crash_times).collect();
         ends.sort_unstable();
         let from = *ends.get(2)? + CONTACT;
-        let late = self.plain.iter().flat_map(Server::seen).filter(|seen| {
+        let late = self.plain.iter().flat_map(Server::received_requests).filter(|seen| {
             let router = seen.header("request-id").and_then(|id| id.split_once('-'));
             let in_touch =
                 router.is_some_and(|(name, _)| !self.apart(name, seen.at - CONTACT, seen.at));
--- a/components/loader/src/permit/tests.rs
+++ b/components/loader/src/permit/tests.rs
@@ -86,7 +86,7 @@
 
 /// Restores the store from a copy of this age; a router reports the new era to each loader.
 fn restore(store: &Standin, age: Duration, era: u64, loaders: &[Loader]) {
-    store.restore(age);
+    store.restore_backup(age);
     for loader in loaders {
         loader.highest_era.send_replace(Era(era));
     }
@@ -165,7 +165,7 @@
             tokio::time::sleep(Duration::from_millis(rng.random_range(1..200))).await;
         }
         era += 1;
-        store.restore(Duration::from_millis(rng.random_range(0..2_500)));
+        store.restore_backup(Duration::from_millis(rng.random_range(0..2_500)));
         for loader in &loaders {
             if rng.random_bool(0.8) {
                 loader.highest_era.send_replace(Era(era));
--- a/programs/tests/unread.rs
+++ b/programs/tests/unread.rs
@@ -39,7 +39,7 @@
     let store = Store::start().await;
     let server = Server::plain("i-1").await;
     store.configure(1, &["unsafe"]);
-    store.list(&server, "app", Some("ready"));
+    store.list_server(&server, "app", Some("ready"));
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let ip = format!("127.{}.{low}.250", 64 + (high & 0x3f));
     let folder = tempfile::tempdir().expect("a folder");
