--- a/components/entry/src/run.rs
+++ b/components/entry/src/run.rs
@@ -50,7 +50,7 @@
         demand.clone(),
         process.recorder.clone(),
         planner::Options {
-            lease: settings.lease.0,
+            lease_duration: settings.lease.0,
             stop: Some(process.shutdown.flag(Phase::Drain)),
             ..Default::default()
         },
--- a/components/planner/examples/capacity.rs
+++ b/components/planner/examples/capacity.rs
@@ -75,7 +75,7 @@
     let mut count = 0;
     for _ in 0..RUNS {
         let began = Instant::now();
-        count = planner::preview(state, today, planner::Options::default().batch).len();
+        count = planner::preview(state, today, planner::Options::default().max_decisions).len();
         times.push(began.elapsed());
     }
     times.sort();
--- a/components/planner/src/lease.rs
+++ b/components/planner/src/lease.rs
@@ -62,7 +62,7 @@
 
 /// Claims the lease when it lapses and renews it while held; ends with the journal.
 pub(crate) async fn keep(shared: &Shared) {
-    let lease = shared.options.lease;
+    let lease = shared.options.lease_duration;
     let mut changes = shared.journal.changes();
     let mut watch = Watch::new(&shared.journal.read(|s| s.lease().clone()), Instant::now());
     let mut held = None;
@@ -111,7 +111,8 @@
 async fn claim(shared: &Shared, previous: Epoch) -> Result<(), AppendError> {
     log::info!("planner: no renewal of epoch {previous} seen, claiming the lease");
     metrics::counter!("planner_claims_total").increment(1);
-    let answer = shared.journal.append(Body::Claim { previous }, shared.options.lease).await;
+    let answer =
+        shared.journal.append(Body::Claim { previous }, shared.options.lease_duration).await;
     let applied = answer.inspect_err(|error| log::warn!("planner: claim undecided: {error}"))?;
     if let Some(Verdict::Void(void)) = applied.verdicts.first() {
         log::info!("planner: claim lost: {void}");
@@ -120,7 +121,7 @@
 }
 
 async fn renew(shared: &Shared, epoch: Epoch) -> Result<(), AppendError> {
-    let limit = shared.options.lease / RENEWALS;
+    let limit = shared.options.lease_duration / RENEWALS;
     let answer = shared.journal.append(Body::Renew { epoch }, limit).await;
     answer.map(|_| ()).inspect_err(|error| log::warn!("planner: renewal undecided: {error}"))
 }
--- a/components/planner/src/lib.rs
+++ b/components/planner/src/lib.rs
@@ -23,4 +23,4 @@
 
 pub use demand::DemandLog;
 pub use rounds::preview;
-pub use run::{Options, rounds_for, run};
+pub use run::{Options, max_rounds, run};
--- a/components/planner/src/listing.rs
+++ b/components/planner/src/listing.rs
@@ -39,7 +39,7 @@
         if held.is_some() {
             look(shared, &*list, &sightings, &mut trouble).await;
         }
-        sleep(shared.options.listing).await;
+        sleep(shared.options.list_interval).await;
     }
 }
 
@@ -58,7 +58,8 @@
     }
     let members: Vec<Member> = shared.journal.read(|state| state.members().cloned().collect());
     sightings.send_modify(|seen| seen.note(&members, &instances, Instant::now()));
-    let suspects = sightings.borrow().suspects(&members, shared.options.guard, Instant::now());
+    let suspects =
+        sightings.borrow().suspects(&members, shared.options.absence_timeout, Instant::now());
     let asked = suspects.into_iter().take(ASKED_AT_ONCE);
     let heard = stream::iter(asked).map(|suspect| ask(shared, suspect));
     let heard: Vec<(Suspect, bool)> = heard.buffer_unordered(ASKED_AT_ONCE).collect().await;
--- a/components/planner/src/rounds.rs
+++ b/components/planner/src/rounds.rs
@@ -73,7 +73,7 @@
 ) {
     let mut changes = shared.journal.changes();
     let mut memory = Memory::default();
-    let mut pause = shared.options.round;
+    let mut pause = shared.options.round_interval;
     loop {
         let began = Instant::now();
         changes.borrow_and_update();
@@ -83,7 +83,7 @@
             None => Ok(true),
         };
         pause = match outcome {
-            Ok(true) | Err(AppendError::Unknown { .. }) => shared.options.round,
+            Ok(true) | Err(AppendError::Unknown { .. }) => shared.options.round_interval,
             Ok(false) | Err(AppendError::Frozen) => (pause * 2).min(BACKOFF_MOST),
             Err(AppendError::Closed) => return,
         };
@@ -117,7 +117,11 @@
     memory.forecasts.note(&demand.take(), began);
     let today = shared.options.calendar.now();
     let models = sized(picture, &mut memory.forecasts, began, today);
-    let rules = Rules { sightings, guard: shared.options.guard, batch: shared.options.batch };
+    let rules = Rules {
+        sightings,
+        guard: shared.options.absence_timeout,
+        batch: shared.options.max_decisions,
+    };
     let mut round = decide_round(picture, &models, &rules);
     if round.decisions.is_empty() && memory.is_search_due(picture, began) {
         let first = memory.advance(picture.grants.len());
@@ -180,7 +184,7 @@
     }
     metrics::counter!("planner_decisions_total").increment(decisions.len() as u64);
     let body = Body::Decide { epoch, decisions: decisions.clone() };
-    let answer = shared.journal.append(body, shared.options.lease).await;
+    let answer = shared.journal.append(body, shared.options.lease_duration).await;
     let applied = answer.inspect_err(|error| log::warn!("planner: round undecided: {error}"))?;
     note_outcome(shared, &decisions, &applied);
     Ok(applied.verdicts.contains(&Verdict::Done))
--- a/components/planner/src/run.rs
+++ b/components/planner/src/run.rs
@@ -24,15 +24,15 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How long the lease may go without renewal before this process claims it.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long an endpoint must be off the list before its grants end.
-    pub guard: Duration,
+    pub absence_timeout: Duration,
     /// The pause between two rounds of decisions.
-    pub round: Duration,
+    pub round_interval: Duration,
     /// The most decisions that one round appends.
-    pub batch: usize,
+    pub max_decisions: usize,
     /// The pause between two readings of the instance list.
-    pub listing: Duration,
+    pub list_interval: Duration,
     /// What closing windows are read against.
     pub calendar: Calendar,
     /// Turns true when the process shuts down: the planner then gives its lease up and ends.
@@ -44,11 +44,11 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            lease: Duration::from_secs(5),
-            guard: Duration::from_secs(10),
-            round: Duration::from_millis(250),
-            batch: 200,
-            listing: Duration::from_secs(1),
+            lease_duration: Duration::from_secs(5),
+            absence_timeout: Duration::from_secs(10),
+            round_interval: Duration::from_millis(250),
+            max_decisions: 200,
+            list_interval: Duration::from_secs(1),
             calendar: Calendar::system(),
             stop: None,
             network: Arc::new(Client::default()),
@@ -58,7 +58,7 @@
 
 /// The most rounds, and so appends, that a number of decisions needs: half of a batch may go to dropping
 /// endpoints, and the other half to new grants.
-pub fn rounds_for(decisions: usize, batch: usize) -> usize {
+pub fn max_rounds(decisions: usize, batch: usize) -> usize {
     decisions.div_ceil((batch / GONE_PART).max(1))
 }
 
--- a/components/planner/tests/common/mod.rs
+++ b/components/planner/tests/common/mod.rs
@@ -88,7 +88,7 @@
         let journal = self.journal(name.as_str(), Arc::new(gate.clone()));
         let (stop, stopped) = watch::channel(false);
         let mut options = Options {
-            lease: LEASE,
+            lease_duration: LEASE,
             calendar: Calendar::starting("2026-12-02T08:00:00Z".parse().expect("a time")),
             stop: Some(stopped),
             network: Arc::new(self.net.port(addr(number))),
--- a/components/planner/tests/grants.rs
+++ b/components/planner/tests/grants.rs
@@ -36,7 +36,7 @@
     let took = site.until("all grants", |state| state.grants().count() == models).await;
     assert!(took < Duration::from_secs(2), "{took:?}");
     let rounds = site.history().rounds;
-    assert!(rounds <= planner::rounds_for(models, entry.options.batch), "{rounds} rounds");
+    assert!(rounds <= planner::max_rounds(models, entry.options.max_decisions), "{rounds} rounds");
     pass(60).await;
     assert_eq!(site.history().rounds, rounds, "nothing more is decided");
 }
@@ -54,7 +54,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     site.until("all grants", |state| state.grants().count() == 100).await;
-    let took = began.elapsed().as_millis() / entry.options.round.as_millis();
+    let took = began.elapsed().as_millis() / entry.options.round_interval.as_millis();
     let rounds = (site.history().rounds - before) as u128;
     assert!(rounds <= took + 1, "{rounds} rounds in the time of {took}");
 }
--- a/components/planner/tests/membership.rs
+++ b/components/planner/tests/membership.rs
@@ -199,7 +199,7 @@
     let (gone, grants) = (after.gone - before.gone, after.grants - before.grants);
     assert_eq!((gone, grants, after.over), (25, held, 0));
     let rounds = after.rounds - before.rounds;
-    let bound = planner::rounds_for(gone + grants, entry.options.batch) + 1;
+    let bound = planner::max_rounds(gone + grants, entry.options.max_decisions) + 1;
     println!(
         "{held} grants lost; {gone} gone and {grants} granted in {rounds} rounds within {took:?}"
     );
