--- a/components/planner/src/decide.rs
+++ b/components/planner/src/decide.rs
@@ -1,7 +1,7 @@
-//! One round of decisions: who is gone, which grants end, which replicas are granted where.
+//! One round of decisions: which endpoints are gone, which grants are revoked, and which replicas are granted where.
 //!
-//! A replica moves without surge: its grant is revoked, the agent drains and releases it, and only then
-//! is the replica granted elsewhere. What is decided here is checked again by the fold of every process.
+//! A replica that moves never exists twice: its grant is revoked, the agent drains and releases the replica, and only
+//! then is the replica granted on another endpoint. Every process that folds the log checks the decisions again.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -11,90 +11,99 @@
 use units::{EndpointId, ModelName, Size};
 
 use crate::draft::Draft;
-use crate::membership::Sightings;
-use crate::picture::{Model, Picture};
+use crate::membership::Observations;
+use crate::round_input::{Model, RoundInput};
 
-/// At most this part of a batch declares endpoints gone, so that new grants need not wait for all of them.
-pub(crate) const GONE_PART: usize = 2;
-/// What a round goes by besides the state.
+/// At most the maximum number of decisions divided by this declares endpoints gone in one round, so that new grants
+/// need not wait until all gone endpoints are removed.
+pub(crate) const GONE_BATCH_DIVISOR: usize = 2;
+
+/// The inputs of a round besides the state.
 pub(crate) struct Rules<'a> {
-    pub(crate) sightings: &'a Sightings,
-    pub(crate) guard: Duration,
-    pub(crate) batch: usize,
+    pub(crate) observations: &'a Observations,
+    /// How long an endpoint must be missing from the platform's list before it counts as gone.
+    pub(crate) absence_timeout: Duration,
+    /// The most decisions of one round.
+    pub(crate) max_decisions: usize,
 }
 
-/// What one round came to.
+/// The result of one round.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Round {
     pub(crate) decisions: Vec<Decision>,
-    /// Models with fewer grants than wanted, because no endpoint can hold another.
+    /// The number of models with fewer grants than their target, because no endpoint can hold another replica.
     pub(crate) unplaced: usize,
 }
 
-/// The decisions of one round, at most `rules.batch`.
-pub(crate) fn decide(picture: &Picture, models: &[Model], rules: &Rules<'_>) -> Round {
-    let (gone, staying) = split_gone(picture, rules);
-    let mut draft = Draft::new(rules, &staying);
+/// Makes the decisions of one round, at most `rules.max_decisions`.
+pub(crate) fn decide(input: &RoundInput, models: &[Model], rules: &Rules<'_>) -> Round {
+    let (gone, remaining) = split_gone_members(input, rules);
+    let mut draft = Draft::new(rules, &remaining);
     draft.round.decisions.extend(gone);
-    let standing = picture.grants.iter().filter(|grant| draft.has_member(&grant.endpoint));
-    let (mut all, orphans) = by_model(models, standing);
-    draft.note_held(&all);
+    let in_force = input.grants.iter().filter(|grant| draft.has_member(&grant.endpoint));
+    let (mut grouped, orphans) = group_by_model(models, in_force);
+    draft.add_held(&grouped);
     for grant in orphans.into_iter().filter(|grant| !grant.revoked) {
         draft.revoke(grant, "the model is not in the tree");
     }
-    all.sort_by_cached_key(|(model, grants)| draft.urgency(model, grants));
-    for (model, grants) in &all {
-        draft.settle(model, grants);
+    grouped.sort_by_cached_key(|(model, grants)| draft.priority(model, grants));
+    for (model, grants) in &grouped {
+        draft.plan_model(model, grants);
     }
     draft.round
 }
 
-/// A model with its grants.
-pub(crate) type Granted<'a> = (&'a Model, Vec<&'a Grant>);
+/// A model and its grants.
+pub(crate) type ModelGrants<'a> = (&'a Model, Vec<&'a Grant>);
 
-/// Brings models and grants together, and returns the grants of no model too.
-pub(crate) fn by_model<'a>(
+/// Groups grants by model. The second value has the grants whose model is not in `models`.
+pub(crate) fn group_by_model<'a>(
     models: &'a [Model],
     grants: impl Iterator<Item = &'a Grant>,
-) -> (Vec<Granted<'a>>, Vec<&'a Grant>) {
-    let mut of_model: BTreeMap<&ModelName, Vec<&Grant>> = BTreeMap::new();
+) -> (Vec<ModelGrants<'a>>, Vec<&'a Grant>) {
+    let mut grants_by_model: BTreeMap<&ModelName, Vec<&Grant>> = BTreeMap::new();
     for grant in grants {
-        of_model.entry(&grant.model).or_default().push(grant);
+        grants_by_model.entry(&grant.model).or_default().push(grant);
     }
-    let mut all = Vec::with_capacity(models.len());
+    let mut grouped = Vec::with_capacity(models.len());
     for model in models {
-        all.push((model, of_model.remove(&model.leaf.model).unwrap_or_default()));
+        grouped.push((model, grants_by_model.remove(&model.leaf.model).unwrap_or_default()));
     }
-    (all, of_model.into_values().flatten().collect())
+    (grouped, grants_by_model.into_values().flatten().collect())
 }
 
-/// Decides which endpoints are gone, and returns them and the members that stay.
-fn split_gone<'a>(picture: &'a Picture, rules: &Rules<'_>) -> (Vec<Decision>, Vec<&'a Member>) {
-    let mut holders = HashMap::<&EndpointId, usize>::new();
-    for grant in &picture.grants {
-        *holders.entry(&grant.endpoint).or_default() += 1;
+/// Decides which endpoints are gone. Returns the decisions about them and the remaining members.
+fn split_gone_members<'a>(
+    input: &'a RoundInput,
+    rules: &Rules<'_>,
+) -> (Vec<Decision>, Vec<&'a Member>) {
+    let mut grant_counts = HashMap::<&EndpointId, usize>::new();
+    for grant in &input.grants {
+        *grant_counts.entry(&grant.endpoint).or_default() += 1;
     }
-    let limit = (rules.batch / GONE_PART).max(1);
+    let limit = (rules.max_decisions / GONE_BATCH_DIVISOR).max(1);
     let mut gone = Vec::new();
-    let mut staying = Vec::with_capacity(picture.members.len());
-    for member in &picture.members {
-        let idle = !holders.contains_key(&member.attach.endpoint);
-        let ends = has_left(member, idle, rules) || rules.sightings.is_gone(member, rules.guard);
-        if ends && gone.len() < limit {
+    let mut remaining = Vec::with_capacity(input.members.len());
+    for member in &input.members {
+        let has_no_grants = !grant_counts.contains_key(&member.attach.endpoint);
+        let is_gone = has_drained(member, has_no_grants, rules)
+            || rules.observations.is_gone(member, rules.absence_timeout);
+        if is_gone && gone.len() < limit {
             let endpoint = member.attach.endpoint.clone();
             gone.push(Decision::Gone { endpoint, incarnation: member.incarnation });
         } else {
-            staying.push(member);
+            remaining.push(member);
         }
     }
-    (gone, staying)
+    (gone, remaining)
 }
 
-/// Whether an agent has said that it leaves and nothing can be under way at it. A plain service has no
-/// grants to release, so its calls may run on until the platform takes the instance away.
-fn has_left(member: &Member, idle: bool, rules: &Rules<'_>) -> bool {
+/// Whether an agent has announced that it leaves and no request can still run at its endpoint. A plain service (one
+/// without accelerator memory) has no grants to release, so its requests may run until the platform removes the
+/// instance.
+fn has_drained(member: &Member, has_no_grants: bool, rules: &Rules<'_>) -> bool {
     let is_engine = member.attach.memory > Size(0);
-    member.leaving && idle && (is_engine || rules.sightings.is_absent(member))
+    member.leaving && has_no_grants && (is_engine || rules.observations.is_absent(member))
 }
 
 #[cfg(test)]
--- a/components/planner/src/demand.rs
+++ b/components/planner/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand as the entries see it.
+//! Demand for models, collected from all entries until a round of decisions uses it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,58 +7,58 @@
 use units::ModelName;
 use wire::Demand;
 
-/// Requests and refusals of one model since they were last taken.
+/// Requests and refusals of one model since the counts were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Tally {
+pub(crate) struct RequestCounts {
     pub(crate) requests: u64,
     pub(crate) refused: u64,
 }
 
-impl Tally {
-    /// Requests a second over a span of seconds.
+impl RequestCounts {
+    /// The request rate per second, if the counts cover this many seconds.
     #[expect(clippy::cast_precision_loss, reason = "counts of a few seconds are small")]
-    pub(crate) fn rate(self, span: f64) -> f64 {
-        self.requests as f64 / span
+    pub(crate) fn rate(self, seconds: f64) -> f64 {
+        self.requests as f64 / seconds
     }
 }
 
 #[derive(Debug, Default)]
-struct Shared {
-    tallies: Mutex<BTreeMap<ModelName, Tally>>,
-    news: Notify,
+struct Pending {
+    counts: Mutex<BTreeMap<ModelName, RequestCounts>>,
+    changed: Notify,
 }
 
-/// Demand that this process has seen or been told of; cheap to clone.
+/// Demand that this process has seen itself or received from other entries. Clones share the counts.
 #[derive(Debug, Clone, Default)]
-pub struct DemandLog(Arc<Shared>);
+pub struct DemandLog(Arc<Pending>);
 
 impl DemandLog {
-    /// Adds demand.
+    /// Adds requests and refusals to the counts.
     pub fn add(&self, demand: &[Demand]) {
         if demand.is_empty() {
             return;
         }
-        let mut tallies = self.tallies();
-        for one in demand {
-            let tally = tallies.entry(one.model.clone()).or_default();
-            tally.requests += u64::from(one.requests);
-            tally.refused += u64::from(one.refused);
+        let mut counts = self.counts();
+        for update in demand {
+            let model_counts = counts.entry(update.model.clone()).or_default();
+            model_counts.requests += u64::from(update.requests);
+            model_counts.refused += u64::from(update.refused);
         }
-        drop(tallies);
-        self.0.news.notify_one();
+        drop(counts);
+        self.0.changed.notify_one();
     }
 
-    /// Waits until there is demand that was not waited for before.
-    pub(crate) async fn news(&self) {
-        self.0.news.notified().await;
+    /// Waits until demand has been added since the last call.
+    pub(crate) async fn changed(&self) {
+        self.0.changed.notified().await;
     }
 
-    fn tallies(&self) -> MutexGuard<'_, BTreeMap<ModelName, Tally>> {
-        self.0.tallies.lock().unwrap_or_else(PoisonError::into_inner)
+    fn counts(&self) -> MutexGuard<'_, BTreeMap<ModelName, RequestCounts>> {
+        self.0.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what has come since the last time.
-    pub(crate) fn take(&self) -> BTreeMap<ModelName, Tally> {
-        std::mem::take(&mut *self.tallies())
+    /// Returns the counts since the last call, and resets them.
+    pub(crate) fn take(&self) -> BTreeMap<ModelName, RequestCounts> {
+        std::mem::take(&mut *self.counts())
     }
 }
--- a/components/planner/src/draft.rs
+++ b/components/planner/src/draft.rs
@@ -1,4 +1,4 @@
-//! Bringing the grants of each model nearer to what is wanted.
+//! Decides for each model which grants to revoke and which to add, within the limit of one round.
 
 use std::collections::HashMap;
 
@@ -9,47 +9,48 @@
 use tree::Leaf;
 use units::{Domain, EndpointId, ModelName, ReplicaIndex, ServiceName, Size};
 
-use crate::decide::{Granted, Round, Rules};
-use crate::membership::Sightings;
-use crate::picture::Model;
+use crate::decide::{ModelGrants, Round, Rules};
+use crate::membership::Observations;
+use crate::round_input::Model;
 
-/// While replicas are replaced, at least this part of those wanted stays granted.
-const KEPT_PART: u32 = 2;
+/// While replicas are replaced, at least the target number divided by this stays granted.
+const KEPT_DIVISOR: u32 = 2;
 
-/// What is to become of a grant.
+/// How a grant is treated in this round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// It stays.
+pub(crate) enum GrantStatus {
+    /// The grant is kept.
     Keep,
-    /// Its endpoint does not answer but is not gone yet.
-    Silent,
-    /// It must go, but not before enough others serve.
-    Stale(&'static str),
-    /// Its endpoint takes no new work, so nothing is lost by revoking it.
+    /// The endpoint does not answer but does not count as gone yet.
+    Unresponsive,
+    /// The grant must be revoked, for this reason, but only once enough other replicas are granted.
+    Replace(&'static str),
+    /// The endpoint takes no new work, so revoking the grant loses nothing.
     Leaving,
-    /// It is revoked already.
+    /// The grant is already revoked, or its endpoint is not a member.
     Revoked,
 }
 
-/// A round that is being decided.
+/// The decisions of a round while they are being made.
 pub(crate) struct Draft<'a> {
     rules: &'a Rules<'a>,
     members: HashMap<&'a EndpointId, &'a Member>,
     hosts: Vec<Host>,
-    places: HashMap<&'a EndpointId, usize>,
+    host_indices: HashMap<&'a EndpointId, usize>,
     pub(crate) round: Round,
 }
 
 impl<'a> Draft<'a> {
-    pub(crate) fn new(rules: &'a Rules<'a>, staying: &[&'a Member]) -> Self {
-        let hosts: Vec<Host> = staying.iter().map(|member| host(member, rules)).collect();
-        let members = staying.iter().map(|member| (&member.attach.endpoint, *member));
-        let places = staying.iter().enumerate().map(|(i, member)| (&member.attach.endpoint, i));
+    pub(crate) fn new(rules: &'a Rules<'a>, remaining: &[&'a Member]) -> Self {
+        let hosts: Vec<Host> = remaining.iter().map(|member| host(member, rules)).collect();
+        let members = remaining.iter().map(|member| (&member.attach.endpoint, *member));
+        let host_indices =
+            remaining.iter().enumerate().map(|(i, member)| (&member.attach.endpoint, i));
         Self {
             rules,
             members: members.collect(),
             hosts,
-            places: places.collect(),
+            host_indices: host_indices.collect(),
             round: Round::default(),
         }
     }
@@ -58,101 +59,108 @@
         self.members.contains_key(endpoint)
     }
 
-    pub(crate) fn note_held(&mut self, models: &[Granted<'_>]) {
+    pub(crate) fn add_held(&mut self, models: &[ModelGrants<'_>]) {
         for (model, grants) in models {
             for grant in grants {
-                if let Some(&i) = self.places.get(&grant.endpoint) {
+                if let Some(&i) = self.host_indices.get(&grant.endpoint) {
                     self.hosts[i].held.push(held(model));
                 }
             }
         }
     }
 
-    /// Models that nobody serves come first, then those whose window opens first.
-    pub(crate) fn urgency(&self, model: &Model, grants: &[&Grant]) -> (bool, Timestamp, ModelName) {
-        let served = grants.iter().any(|grant| self.fate(&model.leaf, grant) == Fate::Keep);
+    /// The sort key of a model: models without a kept grant come first, then those whose closing window opens first.
+    pub(crate) fn priority(
+        &self,
+        model: &Model,
+        grants: &[&Grant],
+    ) -> (bool, Timestamp, ModelName) {
+        let served =
+            grants.iter().any(|grant| self.status(&model.leaf, grant) == GrantStatus::Keep);
         let opens = model.closing.opens.unwrap_or(Timestamp::MAX);
         (served, opens, model.leaf.model.clone())
     }
 
     fn is_full(&self) -> bool {
-        self.round.decisions.len() >= self.rules.batch
+        self.round.decisions.len() >= self.rules.max_decisions
     }
 
-    fn fate(&self, leaf: &Leaf, grant: &Grant) -> Fate {
-        let Some(member) = self.members.get(&grant.endpoint) else { return Fate::Revoked };
+    fn status(&self, leaf: &Leaf, grant: &Grant) -> GrantStatus {
+        let Some(member) = self.members.get(&grant.endpoint) else { return GrantStatus::Revoked };
         if grant.revoked {
-            return Fate::Revoked;
+            return GrantStatus::Revoked;
         }
-        if is_leaving(member, self.rules.sightings) {
-            return Fate::Leaving;
+        if is_leaving(member, self.rules.observations) {
+            return GrantStatus::Leaving;
         }
-        if self.rules.sightings.is_silent(member) {
-            return Fate::Silent;
+        if self.rules.observations.is_unresponsive(member) {
+            return GrantStatus::Unresponsive;
         }
         if grant.artifact != leaf.artifact {
-            return Fate::Stale("another version is in force");
+            return GrantStatus::Replace("another version is in force");
         }
         if leaf.settings.service.as_ref() != Some(&member.attach.service) {
-            return Fate::Stale("the model belongs to another service");
+            return GrantStatus::Replace("the model belongs to another service");
         }
-        if member.attach.memory < need(leaf) {
-            return Fate::Stale("the endpoint is too small");
+        if member.attach.memory < memory_needed(leaf) {
+            return GrantStatus::Replace("the endpoint is too small");
         }
         if grant.index.0 >= leaf.settings.replicas_most {
-            return Fate::Stale("over the bound");
+            return GrantStatus::Replace("over the bound");
         }
-        Fate::Keep
+        GrantStatus::Keep
     }
 
-    /// Brings the grants of one model nearer to what is wanted.
-    pub(crate) fn settle(&mut self, model: &Model, grants: &[&'a Grant]) {
+    /// Adds the decisions for one model: revokes grants that must go, and grants replicas that are missing.
+    pub(crate) fn plan_model(&mut self, model: &Model, grants: &[&'a Grant]) {
         if self.is_full() {
             return;
         }
         let (leaf, wanted) = (&model.leaf, &model.wanted);
-        let mut grants: Vec<(&Grant, Fate)> =
-            grants.iter().map(|grant| (*grant, self.fate(leaf, grant))).collect();
+        let mut grants: Vec<(&Grant, GrantStatus)> =
+            grants.iter().map(|grant| (*grant, self.status(leaf, grant))).collect();
         grants.sort_by_key(|(grant, _)| grant.index);
-        let kept = with_fate(&grants, |fate| fate == Fate::Keep);
+        let kept = with_status(&grants, |status| status == GrantStatus::Keep);
         self.revoke_leaving(&grants);
-        self.revoke_stale(leaf, &grants, wanted.replicas);
+        self.revoke_replaced(leaf, &grants, wanted.replicas);
         self.revoke_surplus(leaf, &grants, wanted.replicas);
-        let short = wanted.replicas.saturating_sub(size(kept.len()));
-        let room = leaf.settings.replicas_most.saturating_sub(size(grants.len()));
+        let short = wanted.replicas.saturating_sub(to_u32(kept.len()));
+        let room = leaf.settings.replicas_most.saturating_sub(to_u32(grants.len()));
         self.grant(model, &grants, short.min(room));
     }
 
-    fn revoke_leaving(&mut self, grants: &[(&Grant, Fate)]) {
-        for grant in with_fate(grants, |fate| fate == Fate::Leaving) {
+    fn revoke_leaving(&mut self, grants: &[(&Grant, GrantStatus)]) {
+        for grant in with_status(grants, |status| status == GrantStatus::Leaving) {
             self.revoke(grant, "the endpoint is leaving");
         }
     }
 
-    /// Revokes what must go, but keeps enough of it until others serve in its place.
-    fn revoke_stale(&mut self, leaf: &Leaf, grants: &[(&Grant, Fate)], wanted: u32) {
-        let kept = size(with_fate(grants, |fate| fate == Fate::Keep).len());
-        let floor = if leaf.settings.replicas_most > 1 { wanted.div_ceil(KEPT_PART) } else { 0 };
+    /// Revokes grants that must be replaced, except as many as are still needed to serve the model until their
+    /// replacements are granted.
+    fn revoke_replaced(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], wanted: u32) {
+        let kept = to_u32(with_status(grants, |status| status == GrantStatus::Keep).len());
+        let floor = if leaf.settings.replicas_most > 1 { wanted.div_ceil(KEPT_DIVISOR) } else { 0 };
         let needed = floor.saturating_sub(kept) as usize;
-        let stale = grants.iter().filter_map(|(grant, fate)| match fate {
-            Fate::Stale(reason) => Some((*grant, *reason)),
+        let outdated = grants.iter().filter_map(|(grant, status)| match status {
+            GrantStatus::Replace(reason) => Some((*grant, *reason)),
             _ => None,
         });
-        let stale: Vec<(&Grant, &'static str)> = stale.collect();
-        for (grant, reason) in stale.into_iter().skip(needed) {
+        let outdated: Vec<(&Grant, &'static str)> = outdated.collect();
+        for (grant, reason) in outdated.into_iter().skip(needed) {
             self.revoke(grant, reason);
         }
     }
 
-    /// Revokes what is more than wanted, and of silent endpoints what is over the bound.
-    fn revoke_surplus(&mut self, leaf: &Leaf, grants: &[(&Grant, Fate)], wanted: u32) {
-        let kept = with_fate(grants, |fate| fate == Fate::Keep);
+    /// Revokes kept grants above the target number, and grants of unresponsive endpoints above the model's
+    /// maximum number of replicas.
+    fn revoke_surplus(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], wanted: u32) {
+        let kept = with_status(grants, |status| status == GrantStatus::Keep);
         for grant in kept.iter().skip(wanted as usize) {
             self.revoke(grant, "more than wanted");
         }
-        let silent = with_fate(grants, |fate| fate == Fate::Silent);
-        let room = leaf.settings.replicas_most.saturating_sub(size(kept.len()).min(wanted));
-        for grant in silent.iter().skip(room as usize) {
+        let unresponsive = with_status(grants, |status| status == GrantStatus::Unresponsive);
+        let room = leaf.settings.replicas_most.saturating_sub(to_u32(kept.len()).min(wanted));
+        for grant in unresponsive.iter().skip(room as usize) {
             self.revoke(grant, "over the bound");
         }
     }
@@ -165,23 +173,23 @@
         }
     }
 
-    fn grant(&mut self, model: &Model, grants: &[(&Grant, Fate)], count: u32) {
+    fn grant(&mut self, model: &Model, grants: &[(&Grant, GrantStatus)], count: u32) {
         let leaf = &model.leaf;
         let Some(service) = &leaf.settings.service else { return };
         let mut taken: Vec<ReplicaIndex> = grants.iter().map(|(grant, _)| grant.index).collect();
-        let kept = with_fate(grants, |fate| fate == Fate::Keep);
+        let kept = with_status(grants, |status| status == GrantStatus::Keep);
         let mut domains: Vec<Domain> =
             kept.iter().filter_map(|grant| self.domain(&grant.endpoint)).collect();
         for _ in 0..count {
             if self.is_full() {
                 return;
             }
-            let wish = self.wish(model, free_index(&taken), service, &domains);
-            let Some(i) = place(&self.hosts, &wish, &Weights::default()) else {
+            let request = self.placement_request(model, free_index(&taken), service, &domains);
+            let Some(i) = place(&self.hosts, &request, &Weights::default()) else {
                 self.round.unplaced += 1;
                 return;
             };
-            let index = wish.index;
+            let index = request.index;
             taken.push(index);
             self.round.decisions.push(Decision::Grant {
                 model: leaf.model.clone(),
@@ -195,21 +203,28 @@
         }
     }
 
-    /// How much better another place would be for a granted replica.
-    pub(crate) fn saving(&self, model: &Model, grant: &Grant, grants: &[&Grant]) -> Option<f64> {
+    /// How much lower the placement cost of a granted replica would be at the best other endpoint. `None` if the
+    /// grant is not to be kept or no other endpoint can hold the replica.
+    pub(crate) fn relocation_saving(
+        &self,
+        model: &Model,
+        grant: &Grant,
+        grants: &[&Grant],
+    ) -> Option<f64> {
         let leaf = &model.leaf;
-        if self.fate(leaf, grant) != Fate::Keep {
+        if self.status(leaf, grant) != GrantStatus::Keep {
             return None;
         }
         let others = grants.iter().filter(|other| other.id != grant.id);
         let domains: Vec<Domain> =
             others.filter_map(|other| self.domain(&other.endpoint)).collect();
-        let wish = self.wish(model, grant.index, leaf.settings.service.as_ref()?, &domains);
-        let at = *self.places.get(&grant.endpoint)?;
-        saving(&self.hosts, at, &wish, &Weights::default())
+        let request =
+            self.placement_request(model, grant.index, leaf.settings.service.as_ref()?, &domains);
+        let current = *self.host_indices.get(&grant.endpoint)?;
+        saving(&self.hosts, current, &request, &Weights::default())
     }
 
-    fn wish<'w>(
+    fn placement_request<'w>(
         &self,
         model: &'w Model,
         index: ReplicaIndex,
@@ -222,7 +237,7 @@
             index,
             artifact: &leaf.artifact,
             service,
-            need: need(leaf),
+            need: memory_needed(leaf),
             opens: model.closing.opens,
             domains,
         }
@@ -242,31 +257,36 @@
         memory: attach.memory,
         cached: attach.cached.clone(),
         held: Vec::new(),
-        open: !is_leaving(member, rules.sightings) && !rules.sightings.is_absent(member),
+        open: !is_leaving(member, rules.observations) && !rules.observations.is_absent(member),
     }
 }
 
-fn is_leaving(member: &Member, sightings: &Sightings) -> bool {
-    member.leaving || sightings.is_leaving(&member.attach)
+fn is_leaving(member: &Member, observations: &Observations) -> bool {
+    member.leaving || observations.is_leaving(&member.attach)
 }
 
-fn with_fate<'a>(grants: &[(&'a Grant, Fate)], is: impl Fn(Fate) -> bool) -> Vec<&'a Grant> {
-    grants.iter().filter(|(_, fate)| is(*fate)).map(|(grant, _)| *grant).collect()
+fn with_status<'a>(
+    grants: &[(&'a Grant, GrantStatus)],
+    matches: impl Fn(GrantStatus) -> bool,
+) -> Vec<&'a Grant> {
+    grants.iter().filter(|(_, status)| matches(*status)).map(|(grant, _)| *grant).collect()
 }
 
 fn held(model: &Model) -> Held {
     let leaf = &model.leaf;
-    Held { model: leaf.model.clone(), need: need(leaf), opens: model.closing.opens }
+    Held { model: leaf.model.clone(), need: memory_needed(leaf), opens: model.closing.opens }
 }
 
-fn need(leaf: &Leaf) -> Size {
+/// The accelerator memory that a replica takes: its weights and the room for its KV cache.
+fn memory_needed(leaf: &Leaf) -> Size {
     leaf.settings.weights + leaf.settings.kv_room
 }
 
-fn size(count: usize) -> u32 {
+fn to_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
+/// The lowest replica index that is not taken.
 fn free_index(taken: &[ReplicaIndex]) -> ReplicaIndex {
     let mut index = ReplicaIndex(0);
     while taken.contains(&index) {
--- a/components/planner/src/forecast.rs
+++ b/components/planner/src/forecast.rs
@@ -1,4 +1,4 @@
-//! Demand of each model over time, and how many replicas it asks for.
+//! Tracks the demand for each model and computes its target number of replicas.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,63 +8,72 @@
 use tree::Leaf;
 use units::ModelName;
 
-use crate::demand::Tally;
+use crate::demand::RequestCounts;
 
-/// How fast the average rate follows: it forgets two thirds in this time.
-const MEMORY: Duration = Duration::from_secs(30);
-/// How long a number of replicas is kept after demand has fallen.
-const COOL: Duration = Duration::from_secs(600);
-/// The pause between two additions because of refusals, so that the first can take effect.
-const STEP: Duration = Duration::from_secs(5);
+/// The time constant of the average request rate: after this time, two thirds of an old value are forgotten.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(30);
+/// How long a target number of replicas is kept after demand has fallen.
+const SCALE_DOWN_DELAY: Duration = Duration::from_secs(600);
+/// The least time between two replicas added because of refused requests, so that the first can take effect.
+const REFUSAL_STEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Demand of one model.
+/// The demand for one model.
 #[derive(Debug, Clone)]
-struct Track {
+struct ModelDemand {
     rate: f64,
     refused: bool,
-    raised: Option<Instant>,
-    /// The most replicas wanted lately, and until when they are kept.
+    /// When a replica was last added because of refused requests.
+    raised_at: Option<Instant>,
+    /// The highest target of the last [`SCALE_DOWN_DELAY`]; the target does not fall below it until `floor_until`.
     floor: u32,
-    until: Instant,
+    floor_until: Instant,
 }
 
-/// Demand of all models since this process holds the lease.
+/// The demand for all models since this process took the lease.
 #[derive(Debug, Default)]
 pub(crate) struct Forecasts {
-    tracks: HashMap<ModelName, Track>,
-    sampled: Option<Instant>,
+    models: HashMap<ModelName, ModelDemand>,
+    sampled_at: Option<Instant>,
 }
 
 impl Forecasts {
-    /// Takes in what has come since the last sample.
-    pub(crate) fn note(&mut self, tallies: &BTreeMap<ModelName, Tally>, now: Instant) {
-        let since = self.sampled.replace(now).map(|last| now.duration_since(last));
-        let Some(span) = since.map(|span| span.as_secs_f64()).filter(|span| *span > 0.0) else {
+    /// Updates the rates with the requests since the last call.
+    pub(crate) fn record(&mut self, counts: &BTreeMap<ModelName, RequestCounts>, now: Instant) {
+        let since = self.sampled_at.replace(now).map(|last| now.duration_since(last));
+        let Some(seconds) =
+            since.map(|elapsed| elapsed.as_secs_f64()).filter(|seconds| *seconds > 0.0)
+        else {
             return;
         };
-        let weight = 1.0 - (-span / MEMORY.as_secs_f64()).exp();
-        for (model, track) in &mut self.tracks {
-            let tally = tallies.get(model).copied().unwrap_or_default();
-            track.rate += (tally.rate(span) - track.rate) * weight;
-            track.refused |= tally.refused > 0;
+        let weight = 1.0 - (-seconds / RATE_TIME_CONSTANT.as_secs_f64()).exp();
+        for (model, demand) in &mut self.models {
+            let model_counts = counts.get(model).copied().unwrap_or_default();
+            demand.rate += (model_counts.rate(seconds) - demand.rate) * weight;
+            demand.refused |= model_counts.refused > 0;
         }
     }
 
-    /// How many replicas a model that has `granted` is to have.
-    pub(crate) fn size(
+    /// Returns the target number of replicas of a model that has `granted` of them now.
+    pub(crate) fn target(
         &mut self,
         leaf: &Leaf,
         granted: u32,
         closing: &Closing,
         now: Instant,
     ) -> Wanted {
-        let fresh =
-            || Track { rate: 0.0, refused: false, raised: None, floor: granted, until: now + COOL };
-        let track = self.tracks.entry(leaf.model.clone()).or_insert_with(fresh);
-        if now >= track.until {
-            track.floor = 0;
+        let new_demand = || ModelDemand {
+            rate: 0.0,
+            refused: false,
+            raised_at: None,
+            floor: granted,
+            floor_until: now + SCALE_DOWN_DELAY,
+        };
+        let demand = self.models.entry(leaf.model.clone()).or_insert_with(new_demand);
+        if now >= demand.floor_until {
+            demand.floor = 0;
         }
-        let settled = track.raised.is_none_or(|at| now.duration_since(at) >= STEP);
+        let can_step =
+            demand.raised_at.is_none_or(|at| now.duration_since(at) >= REFUSAL_STEP_INTERVAL);
         let bounds = Bounds {
             least: leaf.settings.replicas_least,
             most: leaf.settings.replicas_most,
@@ -72,32 +81,32 @@
             now: granted,
         };
         let forecast = Forecast {
-            rate: track.rate,
-            refused: track.refused && settled,
+            rate: demand.rate,
+            refused: demand.refused && can_step,
             window: closing.near,
-            lately: track.floor,
+            lately: demand.floor,
         };
         let wanted = wanted(&bounds, &forecast);
         if forecast.refused {
-            track.refused = false;
-            track.raised = Some(now);
+            demand.refused = false;
+            demand.raised_at = Some(now);
         }
         let peak = policy::wanted(&bounds, &Forecast { lately: 0, ..forecast }).replicas;
-        if peak >= track.floor {
-            track.floor = peak;
-            track.until = now + COOL;
+        if peak >= demand.floor {
+            demand.floor = peak;
+            demand.floor_until = now + SCALE_DOWN_DELAY;
         }
         wanted
     }
 
-    /// Whether nobody has asked for a model for some time.
+    /// Whether a model has had almost no requests for some time.
     pub(crate) fn is_idle(&self, model: &ModelName) -> bool {
-        self.tracks.get(model).is_none_or(|track| track.rate < IDLE_RATE)
+        self.models.get(model).is_none_or(|demand| demand.rate < IDLE_RATE)
     }
 
-    /// Forgets models that are not in force any more.
+    /// Drops the models that are no longer in the tree.
     pub(crate) fn retain(&mut self, is_in_force: impl Fn(&ModelName) -> bool) {
-        self.tracks.retain(|model, _| is_in_force(model));
+        self.models.retain(|model, _| is_in_force(model));
     }
 }
 
--- a/components/planner/src/lease/tests.rs
+++ b/components/planner/src/lease/tests.rs
@@ -4,7 +4,7 @@
 use tokio::time::{Instant, advance};
 use units::{Epoch, InstanceId, Offset};
 
-use super::{Watch, jitter};
+use super::{LeaseWatch, jitter};
 
 const LEASE: Duration = Duration::from_secs(5);
 
@@ -13,13 +13,13 @@
     Lease { epoch: Epoch(3), holder, renewed: Offset(renewed) }
 }
 
-fn is_lapsed(watch: &Watch) -> bool {
+fn is_lapsed(watch: &LeaseWatch) -> bool {
     watch.lapses_in(LEASE, Duration::ZERO, Instant::now()).is_zero()
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_see_a_lease_lapse() {
-    let mut watch = Watch::new(&lease(3), Instant::now());
+async fn a_lease_without_renewals_lapses() {
+    let mut watch = LeaseWatch::new(&lease(3), Instant::now());
     advance(LEASE / 2).await;
     watch.observe(&lease(7), true, Instant::now());
     advance(LEASE - Duration::from_millis(1)).await;
@@ -30,8 +30,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_wait_a_full_lease_after_an_outage() {
-    let mut watch = Watch::new(&lease(3), Instant::now());
+async fn a_lease_lapses_only_a_full_duration_after_an_outage() {
+    let mut watch = LeaseWatch::new(&lease(3), Instant::now());
     advance(LEASE / 2).await;
     watch.observe(&lease(3), false, Instant::now());
     advance(LEASE * 10).await;
@@ -43,8 +43,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_claim_a_lease_that_was_given_up_after_jitter() {
-    let mut watch = Watch::new(&lease(3), Instant::now());
+async fn a_lease_that_was_given_up_can_be_claimed_after_the_jitter() {
+    let mut watch = LeaseWatch::new(&lease(3), Instant::now());
     watch.observe(&Lease { holder: None, ..lease(3) }, true, Instant::now());
     assert!(is_lapsed(&watch));
     assert_eq!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn can_spread_claims_differently_in_each_epoch() {
+fn the_jitter_differs_between_processes_and_epochs() {
     let names: Vec<InstanceId> =
         (1..=4).map(|i| format!("entry-{i}").parse().expect("an instance")).collect();
     let mut waits: Vec<Duration> = names.iter().map(|name| jitter(name, Epoch(7), LEASE)).collect();
--- a/components/planner/src/lib.rs
+++ b/components/planner/src/lib.rs
@@ -1,9 +1,8 @@
 //! The planner role that any entry can hold.
 //!
-//! A few loops share one [`run`]: [`lease`] claims and renews the planner lease, and while it is held
+//! [`run`] starts several loops: [`lease`] claims and renews the planner lease. While this process holds it,
 //! [`listing`] watches the platform's instance list, [`rounds`] decides and [`snapshots`] writes snapshots.
-//! What is decided, and that the holder of the lease decides it, is checked again by every process that
-//! folds the record.
+//! Every process that folds the log checks each decision again, and that the holder of the lease made it.
 
 mod balance;
 mod decide;
@@ -13,8 +12,8 @@
 mod lease;
 mod listing;
 mod membership;
-mod picture;
 mod probe;
+mod round_input;
 mod rounds;
 mod run;
 #[cfg(test)]
--- a/components/planner/src/listing.rs
+++ b/components/planner/src/listing.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list, and asking agents that it lacks.
+//! Reads the platform's list of instances, and probes the agents of endpoints that the list lacks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,106 +11,112 @@
 use tokio::time::{Instant, sleep, timeout};
 use wire::Control;
 
-use crate::membership::{Sightings, Suspect};
-use crate::probe::answers;
+use crate::membership::{Observations, ProbeTarget};
+use crate::probe::answers_heartbeat;
 use crate::run::Shared;
 
-/// How long a reading of the list may take.
-const READ_LIMIT: Duration = Duration::from_secs(2);
-/// How long an agent may take to answer that it knows.
-const TELL_LIMIT: Duration = Duration::from_secs(1);
-/// How many agents are asked at the same time, and between two readings.
-const ASKED_AT_ONCE: usize = 128;
+/// How long a read of the list may take.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an agent may take to acknowledge that its instance is leaving.
+const NOTIFY_TIMEOUT: Duration = Duration::from_secs(1);
+/// How many agents are probed at the same time, and how many are probed or notified after each read of the list.
+const MAX_CONCURRENT_PROBES: usize = 128;
 
-/// Watches the list while the lease is held and publishes what is seen; starts anew with each epoch.
-pub(crate) async fn watch(
+/// Reads the list while this process holds the lease, and publishes the observations. They are reset with each epoch.
+pub(crate) async fn watch_list(
     shared: &Shared,
     list: Arc<dyn InstanceList>,
-    sightings: Sender<Sightings>,
+    observations: Sender<Observations>,
 ) {
     let mut epoch = None;
-    let mut trouble = None;
+    let mut last_error = None;
     loop {
-        let held = shared.journal.read(|state| shared.held(state));
+        let held = shared.journal.read(|state| shared.held_epoch(state));
         if held != epoch {
             epoch = held;
-            sightings.send_replace(Sightings::default());
+            observations.send_replace(Observations::default());
         }
         if held.is_some() {
-            look(shared, &*list, &sightings, &mut trouble).await;
+            update(shared, &*list, &observations, &mut last_error).await;
         }
         sleep(shared.options.list_interval).await;
     }
 }
 
-async fn look(
+/// Reads the list once, probes the agents that are due, and publishes the observations.
+async fn update(
     shared: &Shared,
     list: &dyn InstanceList,
-    sightings: &Sender<Sightings>,
-    trouble: &mut Option<String>,
+    observations: &Sender<Observations>,
+    last_error: &mut Option<String>,
 ) {
-    let instances = match read(list).await {
+    let instances = match read_list(list).await {
         Ok(instances) => instances,
-        Err(cause) => return note_trouble(trouble, cause),
+        Err(cause) => return report_unusable_list(last_error, cause),
     };
-    if trouble.take().is_some() {
+    if last_error.take().is_some() {
         log::info!("planner: the instance list can be used again");
     }
     let members: Vec<Member> = shared.journal.read(|state| state.members().cloned().collect());
-    sightings.send_modify(|seen| seen.note(&members, &instances, Instant::now()));
-    let suspects =
-        sightings.borrow().suspects(&members, shared.options.absence_timeout, Instant::now());
-    let asked = suspects.into_iter().take(ASKED_AT_ONCE);
-    let heard = stream::iter(asked).map(|suspect| ask(shared, suspect));
-    let heard: Vec<(Suspect, bool)> = heard.buffer_unordered(ASKED_AT_ONCE).collect().await;
-    sightings.send_if_modified(|seen| {
-        for (suspect, answered) in &heard {
-            seen.note_answer(&suspect.endpoint, *answered, Instant::now());
+    observations.send_modify(|seen| seen.record_list(&members, &instances, Instant::now()));
+    let targets =
+        observations.borrow().due_probes(&members, shared.options.absence_timeout, Instant::now());
+    let targets = targets.into_iter().take(MAX_CONCURRENT_PROBES);
+    let probed = stream::iter(targets).map(|target| probe(shared, target));
+    let probed: Vec<(ProbeTarget, bool)> =
+        probed.buffer_unordered(MAX_CONCURRENT_PROBES).collect().await;
+    observations.send_if_modified(|seen| {
+        for (target, answered) in &probed {
+            seen.record_probe(&target.endpoint, *answered, Instant::now());
         }
-        !heard.is_empty()
+        !probed.is_empty()
     });
-    tell_leaving(shared, &members, &sightings.borrow().clone());
+    notify_leaving(shared, &members, &observations.borrow().clone());
 }
 
-/// Tells agents whose instances are listed as leaving, until they say in the log that they leave: they
-/// read the list too seldom themselves. A message that is lost is repeated with the next reading.
-fn tell_leaving(shared: &Shared, members: &[Member], sightings: &Sightings) {
-    let told = |member: &&Member| !member.leaving && sightings.is_leaving(&member.attach);
-    for member in members.iter().filter(told).take(ASKED_AT_ONCE) {
+/// Notifies agents whose instances are listed as leaving, until they record in the log that they leave. The agents
+/// themselves read the list too seldom. A lost message is sent again after the next read.
+fn notify_leaving(shared: &Shared, members: &[Member], observations: &Observations) {
+    let needs_notice =
+        |member: &&Member| !member.leaving && observations.is_leaving(&member.attach);
+    for member in members.iter().filter(needs_notice).take(MAX_CONCURRENT_PROBES) {
         let control = Control::Leaving { instance: member.attach.instance.clone() };
         let Ok(message) = serde_json::to_vec(&control) else { continue };
         let (network, addr) = (shared.options.network.clone(), member.attach.control);
         tokio::spawn(async move {
-            if let Err(error) = network.ask(addr, Bytes::from(message), TELL_LIMIT).await {
-                log::debug!("planner: {error}");
+            if let Err(error) = network.ask(addr, Bytes::from(message), NOTIFY_TIMEOUT).await {
+                log::debug!(
+                    "planner: failed to notify an agent that its instance is leaving: {error}"
+                );
             }
         });
     }
 }
 
-/// Reads the list; one that is empty proves nothing.
-async fn read(list: &dyn InstanceList) -> Result<Vec<Instance>, String> {
-    match timeout(READ_LIMIT, list.instances()).await {
+/// Reads the list. An empty list is an error, since it proves nothing about the members.
+async fn read_list(list: &dyn InstanceList) -> Result<Vec<Instance>, String> {
+    match timeout(READ_TIMEOUT, list.instances()).await {
         Ok(Ok(instances)) if instances.is_empty() => Err("the instance list is empty".to_owned()),
         Ok(Ok(instances)) => Ok(instances),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err(format!("no answer from the instance list within {READ_LIMIT:?}")),
+        Err(_) => Err(format!("no answer from the instance list within {READ_TIMEOUT:?}")),
     }
 }
 
-/// Says once what is wrong with the list, and counts every reading that could not be used.
-fn note_trouble(trouble: &mut Option<String>, cause: String) {
+/// Logs an error of the list once until it changes, and counts every read that could not be used.
+fn report_unusable_list(last_error: &mut Option<String>, cause: String) {
     metrics::counter!("planner_list_unusable_total").increment(1);
-    if trouble.as_ref() != Some(&cause) {
-        log::warn!("planner: {cause}; nobody is dropped by it");
-        *trouble = Some(cause);
+    if last_error.as_ref() != Some(&cause) {
+        log::warn!("planner: {cause}; no endpoint is declared gone because of this");
+        *last_error = Some(cause);
     }
 }
 
-async fn ask(shared: &Shared, suspect: Suspect) -> (Suspect, bool) {
-    let answered = answers(shared, &suspect.instance, suspect.control).await;
+/// Probes an agent, and returns whether it answered.
+async fn probe(shared: &Shared, target: ProbeTarget) -> (ProbeTarget, bool) {
+    let answered = answers_heartbeat(shared, &target.instance, target.control).await;
     if answered {
-        log::warn!("planner: {} is off the list, but its agent answers", suspect.endpoint);
+        log::warn!("planner: {} is off the list, but its agent answers", target.endpoint);
     }
-    (suspect, answered)
+    (target, answered)
 }
--- a/components/planner/src/membership.rs
+++ b/components/planner/src/membership.rs
@@ -1,9 +1,9 @@
-//! Which endpoints are gone, from readings of the platform's list and answers of the agents.
+//! Decides which endpoints are gone, from the platform's list of instances and from probes of the agents.
 //!
-//! The list lags and can be faulty, so one reading proves nothing. An endpoint is gone when every reading
-//! during the guard time lacked its instance *and* its agent did not answer on its control address. A reading
-//! that is empty proves nothing at all; one that lacks more than [`MASS_PART`] of the members at once
-//! must last [`MASS_FACTOR`] times as long, since a faulty list is then likelier than so large a loss.
+//! The list lags and can be faulty, so one read proves nothing. An endpoint is gone when every read during the absence
+//! timeout lacked its instance *and* its agent did not answer a probe at its control address. An empty list is ignored.
+//! If a read lacks more than one in [`MASS_LOSS_DIVISOR`] members, the timeout is [`MASS_LOSS_FACTOR`] times as long,
+//! since a faulty list is then more likely than so large a loss.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -15,60 +15,68 @@
 use tokio::time::Instant;
 use units::{EndpointId, Incarnation, InstanceId};
 
-/// A reading that lacks more than one in this many members is a mass loss.
-pub(crate) const MASS_PART: usize = 2;
-/// How many guard times a mass loss must last.
-pub(crate) const MASS_FACTOR: u32 = 2;
-/// An absent endpoint is treated as silent, and asked itself, after this part of the guard time.
-pub(crate) const SILENT_PART: u32 = 2;
+/// A list that lacks more than one in this many members counts as a mass loss.
+pub(crate) const MASS_LOSS_DIVISOR: usize = 2;
+/// How many absence timeouts a mass loss must last until its endpoints count as gone.
+pub(crate) const MASS_LOSS_FACTOR: u32 = 2;
+/// The agent of an absent endpoint is probed after the absence timeout divided by this. If the probe fails, the endpoint
+/// counts as unresponsive.
+pub(crate) const PROBE_DELAY_DIVISOR: u32 = 2;
 
-/// An endpoint whose instance the list lacks.
+/// The absence of an endpoint's instance from the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Absence {
     incarnation: Incarnation,
-    /// When the first reading without it came.
+    /// When the list first lacked the instance, or when its agent last answered a probe since then.
     since: Instant,
-    /// Whether its agent was asked in vain since then.
-    unanswered: bool,
-    /// Whether it went together with most members.
-    mass: bool,
+    /// Whether the last probe of its agent got no answer.
+    probe_failed: bool,
+    /// Whether the instance was missing together with most members.
+    mass_loss: bool,
 }
 
-/// What the planner has seen of the members.
+/// What the list and the probes have shown about the members.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Sightings {
+pub(crate) struct Observations {
     absent: HashMap<EndpointId, Absence>,
     leaving: HashSet<InstanceId>,
-    /// When the newest reading that counts came.
-    read: Option<Instant>,
+    /// When the list was last read; empty lists do not count.
+    list_read_at: Option<Instant>,
 }
 
-/// Where an agent that may be gone can be asked.
+/// An agent to probe, because its endpoint may be gone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Suspect {
+pub(crate) struct ProbeTarget {
     pub(crate) endpoint: EndpointId,
     pub(crate) instance: InstanceId,
     pub(crate) control: SocketAddr,
 }
 
-impl Sightings {
-    /// Takes a reading of the list in.
-    pub(crate) fn note(&mut self, members: &[Member], list: &[Instance], now: Instant) {
+impl Observations {
+    /// Records a read of the list.
+    pub(crate) fn record_list(&mut self, members: &[Member], list: &[Instance], now: Instant) {
         if list.is_empty() {
             return;
         }
-        self.read = Some(now);
+        self.list_read_at = Some(now);
         let listed: HashSet<&InstanceId> = list.iter().map(|instance| &instance.id).collect();
         let missing = members.iter().filter(|member| !listed.contains(&member.attach.instance));
         let missing: Vec<&Member> = missing.collect();
-        let mass = missing.len() * MASS_PART > members.len();
+        let mass_loss = missing.len() * MASS_LOSS_DIVISOR > members.len();
         let mut absent = HashMap::with_capacity(missing.len());
         for member in missing {
-            let fresh =
-                Absence { incarnation: member.incarnation, since: now, unanswered: false, mass };
-            let known = self.absent.get(&member.attach.endpoint);
-            let known = known.filter(|absence| absence.incarnation == member.incarnation);
-            let absence = known.map_or(fresh, |old| Absence { mass: old.mass || mass, ..*old });
+            let first = Absence {
+                incarnation: member.incarnation,
+                since: now,
+                probe_failed: false,
+                mass_loss,
+            };
+            let previous = self.absent.get(&member.attach.endpoint);
+            let previous = previous.filter(|absence| absence.incarnation == member.incarnation);
+            let absence = previous.map_or(first, |previous| Absence {
+                mass_loss: previous.mass_loss || mass_loss,
+                ..*previous
+            });
             absent.insert(member.attach.endpoint.clone(), absence);
         }
         self.absent = absent;
@@ -76,57 +84,59 @@
         self.leaving = leaving.map(|instance| instance.id.clone()).collect();
     }
 
-    /// Members that have been absent for some time and were not asked in vain yet.
-    pub(crate) fn suspects(
+    /// Returns the members to probe: those that have been absent long enough and have no failed probe yet.
+    pub(crate) fn due_probes(
         &self,
         members: &[Member],
-        guard: Duration,
+        absence_timeout: Duration,
         now: Instant,
-    ) -> Vec<Suspect> {
-        let asked = |member: &&Member| {
+    ) -> Vec<ProbeTarget> {
+        let is_due = |member: &&Member| {
             let absence = self.absent.get(&member.attach.endpoint);
             absence.is_some_and(|absence| {
-                !absence.unanswered && now.duration_since(absence.since) >= guard / SILENT_PART
+                !absence.probe_failed
+                    && now.duration_since(absence.since) >= absence_timeout / PROBE_DELAY_DIVISOR
             })
         };
-        let suspect = |member: &Member| Suspect {
+        let target = |member: &Member| ProbeTarget {
             endpoint: member.attach.endpoint.clone(),
             instance: member.attach.instance.clone(),
             control: member.attach.control,
         };
-        members.iter().filter(asked).map(suspect).collect()
+        members.iter().filter(is_due).map(target).collect()
     }
 
-    /// Takes in whether an agent answered; one that did starts its guard time again.
-    pub(crate) fn note_answer(&mut self, endpoint: &EndpointId, answered: bool, now: Instant) {
+    /// Records whether an agent answered a probe. An answer starts the absence timeout again.
+    pub(crate) fn record_probe(&mut self, endpoint: &EndpointId, answered: bool, now: Instant) {
         if let Some(absence) = self.absent.get_mut(endpoint) {
-            absence.unanswered = !answered;
+            absence.probe_failed = !answered;
             if answered {
                 absence.since = now;
             }
         }
     }
 
-    /// Whether nothing has been seen or heard of an endpoint for some time, though it is not gone yet.
-    pub(crate) fn is_silent(&self, member: &Member) -> bool {
-        self.absence(member).is_some_and(|absence| absence.unanswered)
+    /// Whether an endpoint is absent from the list and its agent did not answer the last probe.
+    pub(crate) fn is_unresponsive(&self, member: &Member) -> bool {
+        self.absence(member).is_some_and(|absence| absence.probe_failed)
     }
 
-    /// Whether the list says that an instance will be taken away.
+    /// Whether the list says that an instance will be removed.
     pub(crate) fn is_leaving(&self, attach: &Attach) -> bool {
         self.leaving.contains(&attach.instance)
     }
 
-    /// Whether a member is gone: off the list for the guard time, and its agent does not answer.
-    pub(crate) fn is_gone(&self, member: &Member, guard: Duration) -> bool {
-        let Some(absence) = self.absence(member).filter(|absence| absence.unanswered) else {
+    /// Whether a member is gone: absent from the list for the absence timeout, with an agent that does not answer.
+    pub(crate) fn is_gone(&self, member: &Member, absence_timeout: Duration) -> bool {
+        let Some(absence) = self.absence(member).filter(|absence| absence.probe_failed) else {
             return false;
         };
-        let factor = if absence.mass { MASS_FACTOR } else { 1 };
-        self.read.is_some_and(|read| read.duration_since(absence.since) >= guard * factor)
+        let factor = if absence.mass_loss { MASS_LOSS_FACTOR } else { 1 };
+        self.list_read_at
+            .is_some_and(|read| read.duration_since(absence.since) >= absence_timeout * factor)
     }
 
-    /// Whether the newest reading lacks a member.
+    /// Whether the newest read of the list lacks a member.
     pub(crate) fn is_absent(&self, member: &Member) -> bool {
         self.absence(member).is_some()
     }
--- a/components/planner/src/probe.rs
+++ b/components/planner/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking an agent itself whether it lives, before the platform's list is believed.
+//! Probes an agent at its control address, before an absence from the platform's list is taken for a loss.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,19 +9,23 @@
 
 use crate::run::Shared;
 
-/// How long an agent may take to answer.
-const LIMIT: Duration = Duration::from_secs(1);
+/// How long an agent may take to answer a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether an instance answers a heartbeat at its control address. Another instance that has taken the
-/// address over proves nothing of the one before.
-pub(crate) async fn answers(shared: &Shared, instance: &InstanceId, control: SocketAddr) -> bool {
+/// Whether an instance answers a heartbeat at its control address. An answer from another instance that has taken over
+/// the address does not count.
+pub(crate) async fn answers_heartbeat(
+    shared: &Shared,
+    instance: &InstanceId,
+    control: SocketAddr,
+) -> bool {
     let heartbeat = Control::Heartbeat {
         from: shared.instance.clone(),
         applied: Offset(0),
         tick: shared.recorder.clock().tick(),
     };
     let Ok(message) = serde_json::to_vec(&heartbeat) else { return false };
-    let answer = shared.options.network.ask(control, Bytes::from(message), LIMIT).await;
+    let answer = shared.options.network.ask(control, Bytes::from(message), PROBE_TIMEOUT).await;
     let reply = answer.ok().and_then(|bytes| serde_json::from_slice(&bytes).ok());
     match reply {
         Some(Reply::Position { from: Some(from), .. }) => from == *instance,
--- a/components/planner/src/picture.rs
+++ b/components/planner/src/round_input.rs
@@ -1,4 +1,4 @@
-//! What one round of decisions looks at, copied out of the folded state.
+//! The part of the folded state that one round of decisions needs, as a copy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,27 +8,27 @@
 use tree::{Leaf, NodeKind};
 use units::{Epoch, ModelName};
 
-/// A model in force and what is wanted of it.
+/// A model of the tree and its target number of replicas.
 #[derive(Debug, Clone)]
 pub(crate) struct Model {
     pub(crate) leaf: Arc<Leaf>,
     pub(crate) closing: Closing,
     pub(crate) wanted: Wanted,
-    /// Whether nobody has asked for it for some time.
+    /// Whether the model has had almost no requests for some time.
     pub(crate) idle: bool,
 }
 
-/// The state as one round sees it.
+/// A copy of the state that one round works on.
 #[derive(Debug, Clone)]
-pub(crate) struct Picture {
+pub(crate) struct RoundInput {
     pub(crate) epoch: Epoch,
     pub(crate) leaves: Vec<Arc<Leaf>>,
     pub(crate) members: Vec<Member>,
     pub(crate) grants: Vec<Grant>,
 }
 
-impl Picture {
-    pub(crate) fn take(epoch: Epoch, state: &State) -> Self {
+impl RoundInput {
+    pub(crate) fn from_state(epoch: Epoch, state: &State) -> Self {
         let models = state.tree().leaves().iter().filter(|leaf| leaf.kind == NodeKind::Model);
         Self {
             epoch,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// How many grants that are not revoked each model has.
-    pub(crate) fn granted(&self) -> HashMap<&ModelName, u32> {
+    /// The number of grants of each model that are not revoked.
+    pub(crate) fn granted_counts(&self) -> HashMap<&ModelName, u32> {
         let mut counts = HashMap::with_capacity(self.leaves.len());
         for grant in self.grants.iter().filter(|grant| !grant.revoked) {
             *counts.entry(&grant.model).or_default() += 1;
--- a/components/planner/src/rounds.rs
+++ b/components/planner/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of decisions while the lease is held, one append each at most.
+//! Runs rounds of decisions while this process holds the lease. Each round appends at most one record to the log.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -16,181 +16,186 @@
 use units::{Epoch, ModelName};
 
 use crate::DemandLog;
-use crate::balance::{LOOKED_AT, rebalance};
+use crate::balance::{MAX_GRANTS_EXAMINED, rebalance};
 use crate::decide::{Rules, decide as decide_round};
 use crate::forecast::Forecasts;
-use crate::membership::Sightings;
-use crate::picture::{Model, Picture};
+use crate::membership::Observations;
+use crate::round_input::{Model, RoundInput};
 use crate::run::Shared;
 
-/// The longest pause between two looks when nothing changes.
-const IDLE: Duration = Duration::from_secs(1);
-/// The longest pause after rounds whose decisions were all void.
-const BACKOFF_MOST: Duration = Duration::from_secs(5);
+/// The longest wait for a change before the next round runs anyway.
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(1);
+/// The longest pause between rounds whose decisions were all void or whose append found the log frozen.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// How long after a takeover no grant is moved to a better endpoint.
+const REBALANCE_DELAY: Duration = Duration::from_secs(600);
+/// The pause between two searches for better endpoints. Each search moves at most one grant.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long after a takeover nothing is moved to a better place.
-const SETTLE: Duration = Duration::from_secs(600);
-/// The pause between two searches for better places, each of which moves one grant at most.
-const SEARCH: Duration = Duration::from_secs(10);
-
-/// What the rounds of one epoch remember.
+/// What is kept between the rounds of one epoch.
 #[derive(Default)]
-struct Memory {
+struct EpochState {
     epoch: Epoch,
     forecasts: Forecasts,
+    /// The number of models without an endpoint for a missing replica, in the last round.
     unplaced: usize,
-    /// When the next search for better places is due, and the grant it begins with.
-    search: Option<Instant>,
+    /// When the next search for better endpoints is due.
+    next_rebalance: Option<Instant>,
+    /// The position of the grant at which that search begins.
     cursor: usize,
 }
 
-impl Memory {
-    /// Whether to look for better places: not soon after a takeover, when it is not known yet which models
-    /// are in use, and not while a grant is moving.
-    fn is_search_due(&mut self, picture: &Picture, now: Instant) -> bool {
-        let due = *self.search.get_or_insert(now + SETTLE);
-        let moving = picture.grants.iter().any(|grant| grant.revoked);
+impl EpochState {
+    /// Whether to search for better endpoints now. No search runs soon after a takeover, when it is not known yet which
+    /// models are in use, nor while a revoked grant waits for its release.
+    fn is_rebalance_due(&mut self, input: &RoundInput, now: Instant) -> bool {
+        let due = *self.next_rebalance.get_or_insert(now + REBALANCE_DELAY);
+        let moving = input.grants.iter().any(|grant| grant.revoked);
         if now < due || moving {
             return false;
         }
-        self.search = Some(now + SEARCH);
+        self.next_rebalance = Some(now + REBALANCE_INTERVAL);
         true
     }
 
-    /// The grant with which this search begins.
-    fn advance(&mut self, grants: usize) -> usize {
+    /// Returns the position of the grant at which this search begins, and moves on to the next search's.
+    fn advance_cursor(&mut self, grants: usize) -> usize {
         let first = if self.cursor < grants { self.cursor } else { 0 };
-        self.cursor = first + LOOKED_AT;
+        self.cursor = first + MAX_GRANTS_EXAMINED;
         first
     }
 }
 
-/// Decides round by round until the journal ends; at most one append in [`Options::round`](crate::Options).
-pub(crate) async fn decide(
+/// Runs rounds until the journal closes, and appends at most once per
+/// [`Options::round_interval`](crate::Options::round_interval).
+pub(crate) async fn run_rounds(
     shared: &Shared,
     demand: DemandLog,
-    mut sightings: watch::Receiver<Sightings>,
+    mut observations: watch::Receiver<Observations>,
 ) {
     let mut changes = shared.journal.changes();
-    let mut memory = Memory::default();
+    let mut epoch_state = EpochState::default();
     let mut pause = shared.options.round_interval;
     loop {
         let began = Instant::now();
         changes.borrow_and_update();
-        let seen = sightings.borrow_and_update().clone();
-        let outcome = match picture(shared) {
-            Some(picture) => one_round(shared, &picture, &seen, &demand, &mut memory).await,
+        let seen = observations.borrow_and_update().clone();
+        let outcome = match read_input(shared) {
+            Some(input) => run_round(shared, &input, &seen, &demand, &mut epoch_state).await,
             None => Ok(true),
         };
         pause = match outcome {
             Ok(true) | Err(AppendError::Unknown { .. }) => shared.options.round_interval,
-            Ok(false) | Err(AppendError::Frozen) => (pause * 2).min(BACKOFF_MOST),
+            Ok(false) | Err(AppendError::Frozen) => (pause * 2).min(MAX_BACKOFF),
             Err(AppendError::Closed) => return,
         };
         sleep_until(began + pause).await;
         tokio::select! {
             changed = changes.changed() => if changed.is_err() { return },
-            _ = sightings.changed() => {}
-            () = demand.news() => {}
-            () = sleep(IDLE) => {}
+            _ = observations.changed() => {}
+            () = demand.changed() => {}
+            () = sleep(MAX_IDLE_WAIT) => {}
         }
     }
 }
 
-fn picture(shared: &Shared) -> Option<Picture> {
-    let epoch = shared.may_append()?;
-    Some(shared.journal.read(|state| Picture::take(epoch, state)))
+fn read_input(shared: &Shared) -> Option<RoundInput> {
+    let epoch = shared.appendable_epoch()?;
+    Some(shared.journal.read(|state| RoundInput::from_state(epoch, state)))
 }
 
-/// Decides and appends once; whether there is no cause to slow down.
-async fn one_round(
+/// Runs one round. Returns `false` if the decisions were all void, so that the caller backs off.
+async fn run_round(
     shared: &Shared,
-    picture: &Picture,
-    sightings: &Sightings,
+    input: &RoundInput,
+    observations: &Observations,
     demand: &DemandLog,
-    memory: &mut Memory,
+    epoch_state: &mut EpochState,
 ) -> Result<bool, AppendError> {
     let began = Instant::now();
-    if memory.epoch != picture.epoch {
-        *memory = Memory { epoch: picture.epoch, ..Memory::default() };
+    if epoch_state.epoch != input.epoch {
+        *epoch_state = EpochState { epoch: input.epoch, ..EpochState::default() };
     }
-    memory.forecasts.note(&demand.take(), began);
-    let today = shared.options.calendar.now();
-    let models = sized(picture, &mut memory.forecasts, began, today);
+    epoch_state.forecasts.record(&demand.take(), began);
+    let wall_time = shared.options.calendar.now();
+    let models = size_models(input, &mut epoch_state.forecasts, began, wall_time);
     let rules = Rules {
-        sightings,
-        guard: shared.options.absence_timeout,
-        batch: shared.options.max_decisions,
+        observations,
+        absence_timeout: shared.options.absence_timeout,
+        max_decisions: shared.options.max_decisions,
     };
-    let mut round = decide_round(picture, &models, &rules);
-    if round.decisions.is_empty() && memory.is_search_due(picture, began) {
-        let first = memory.advance(picture.grants.len());
-        round.decisions.extend(rebalance(picture, &models, &rules, first));
+    let mut round = decide_round(input, &models, &rules);
+    if round.decisions.is_empty() && epoch_state.is_rebalance_due(input, began) {
+        let first = epoch_state.advance_cursor(input.grants.len());
+        round.decisions.extend(rebalance(input, &models, &rules, first));
     }
     metrics::histogram!("planner_round_seconds").record(began.elapsed());
-    note_unplaced(memory, round.unplaced);
+    report_unplaced(epoch_state, round.unplaced);
     if round.decisions.is_empty() {
         return Ok(true);
     }
-    append(shared, picture.epoch, round.decisions).await
+    append(shared, input.epoch, round.decisions).await
 }
 
-/// Works out how many replicas each model is to have.
-fn sized(
-    picture: &Picture,
+/// Computes the target number of replicas of each model.
+fn size_models(
+    input: &RoundInput,
     forecasts: &mut Forecasts,
     now: Instant,
-    today: Timestamp,
+    wall_time: Timestamp,
 ) -> Vec<Model> {
-    let granted = picture.granted();
+    let granted_counts = input.granted_counts();
     let size = |leaf: &Arc<Leaf>| {
-        let closing = Closing::at(&leaf.settings.windows, today);
-        let count = granted.get(&leaf.model).copied().unwrap_or_default();
-        let wanted = forecasts.size(leaf, count, &closing, now);
+        let closing = Closing::at(&leaf.settings.windows, wall_time);
+        let count = granted_counts.get(&leaf.model).copied().unwrap_or_default();
+        let wanted = forecasts.target(leaf, count, &closing, now);
         let idle = forecasts.is_idle(&leaf.model);
         Model { leaf: leaf.clone(), closing, wanted, idle }
     };
-    let models: Vec<Model> = picture.leaves.iter().map(size).collect();
-    let names: HashSet<&ModelName> = picture.leaves.iter().map(|leaf| &leaf.model).collect();
+    let models: Vec<Model> = input.leaves.iter().map(size).collect();
+    let names: HashSet<&ModelName> = input.leaves.iter().map(|leaf| &leaf.model).collect();
     forecasts.retain(|model| names.contains(model));
     models
 }
 
-fn note_unplaced(memory: &mut Memory, unplaced: usize) {
+fn report_unplaced(epoch_state: &mut EpochState, unplaced: usize) {
     metrics::gauge!("planner_unplaced").set(u32::try_from(unplaced).unwrap_or(u32::MAX));
-    if unplaced > memory.unplaced {
+    if unplaced > epoch_state.unplaced {
         log::warn!("planner: no endpoint has room for another replica of {unplaced} models");
     }
-    memory.unplaced = unplaced;
+    epoch_state.unplaced = unplaced;
 }
 
-/// What a planner that has just taken over would decide on a state: at most `batch` decisions.
-pub fn preview(state: &State, today: Timestamp, batch: usize) -> Vec<Decision> {
-    let picture = Picture::take(state.lease().epoch, state);
-    let models = sized(&picture, &mut Forecasts::default(), Instant::now(), today);
-    let sightings = Sightings::default();
-    let rules = Rules { sightings: &sightings, guard: Duration::MAX, batch };
-    decide_round(&picture, &models, &rules).decisions
+/// Returns what a planner that has just taken over would decide on a state, at most `batch` decisions.
+pub fn preview(state: &State, wall_time: Timestamp, max_decisions: usize) -> Vec<Decision> {
+    let input = RoundInput::from_state(state.lease().epoch, state);
+    let models = size_models(&input, &mut Forecasts::default(), Instant::now(), wall_time);
+    let observations = Observations::default();
+    let rules =
+        Rules { observations: &observations, absence_timeout: Duration::MAX, max_decisions };
+    decide_round(&input, &models, &rules).decisions
 }
 
-/// Appends one batch; whether any decision of it took effect.
+/// Appends the decisions of one round. Returns `false` if none of them took effect.
 async fn append(
     shared: &Shared,
     epoch: Epoch,
     decisions: Vec<Decision>,
 ) -> Result<bool, AppendError> {
-    if shared.may_append() != Some(epoch) {
+    if shared.appendable_epoch() != Some(epoch) {
         return Ok(true);
     }
     metrics::counter!("planner_decisions_total").increment(decisions.len() as u64);
     let body = Body::Decide { epoch, decisions: decisions.clone() };
     let answer = shared.journal.append(body, shared.options.lease_duration).await;
-    let applied = answer.inspect_err(|error| log::warn!("planner: round undecided: {error}"))?;
-    note_outcome(shared, &decisions, &applied);
+    let applied = answer.inspect_err(|error| {
+        log::warn!("planner: no confirmation that a round was appended: {error}")
+    })?;
+    record_verdicts(shared, &decisions, &applied);
     Ok(applied.verdicts.contains(&Verdict::Done))
 }
 
-fn note_outcome(shared: &Shared, decisions: &[Decision], applied: &Applied) {
+fn record_verdicts(shared: &Shared, decisions: &[Decision], applied: &Applied) {
     for (decision, verdict) in decisions.iter().zip(&applied.verdicts) {
         if let Verdict::Void(void) = verdict {
             metrics::counter!("planner_void_total").increment(1);
--- a/components/planner/src/run.rs
+++ b/components/planner/src/run.rs
@@ -1,4 +1,4 @@
-//! Taking, holding and losing the planner role.
+//! Runs the planner's loops until the journal closes or the process shuts down.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use tokio::sync::watch;
 use units::{Epoch, InstanceId, Offset};
 
-use crate::decide::GONE_PART;
-use crate::membership::Sightings;
+use crate::decide::GONE_BATCH_DIVISOR;
+use crate::membership::Observations;
 use crate::{DemandLog, lease, listing, rounds, snapshots};
 
-/// How long a shutdown waits until the lease is given up.
-const RESIGN_LIMIT: Duration = Duration::from_secs(1);
+/// How long a shutdown waits for the lease to be given up.
+const RESIGN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How the planner works.
+/// The planner's options.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How long the lease may go without renewal before this process claims it.
     pub lease_duration: Duration,
-    /// How long an endpoint must be off the list before its grants end.
+    /// How long an endpoint must be absent from the platform's list before it counts as gone and loses its grants.
     pub absence_timeout: Duration,
-    /// The pause between two rounds of decisions.
+    /// The least pause between two rounds of decisions.
     pub round_interval: Duration,
-    /// The most decisions that one round appends.
+    /// The most decisions that one round appends to the log.
     pub max_decisions: usize,
-    /// The pause between two readings of the instance list.
+    /// The pause between two reads of the instance list.
     pub list_interval: Duration,
-    /// What closing windows are read against.
+    /// The calendar that closing windows are evaluated with.
     pub calendar: Calendar,
-    /// Turns true when the process shuts down: the planner then gives its lease up and ends.
+    /// Becomes true when the process shuts down; the planner then gives up its lease and ends.
     pub stop: Option<watch::Receiver<bool>>,
-    /// The network to the agents, which are asked before they are taken for gone.
+    /// The network to the agents, which are probed before their endpoints count as gone.
     pub network: Arc<dyn Ask>,
 }
 
@@ -56,38 +56,40 @@
     }
 }
 
-/// The most rounds, and so appends, that a number of decisions needs: half of a batch may go to dropping
-/// endpoints, and the other half to new grants.
+/// The most rounds, and so appends, that a number of decisions needs. Half of a round's decisions may remove gone
+/// endpoints, which leaves the other half for new grants.
 pub fn max_rounds(decisions: usize, batch: usize) -> usize {
-    decisions.div_ceil((batch / GONE_PART).max(1))
+    decisions.div_ceil((batch / GONE_BATCH_DIVISOR).max(1))
 }
 
-/// What the loops of one planner share.
+/// The state that the loops of one planner share.
 pub(crate) struct Shared {
     pub(crate) instance: InstanceId,
     pub(crate) journal: Journal,
     pub(crate) recorder: Recorder,
     pub(crate) options: Options,
-    /// The newest offset when this process started: claims up to it are not its own.
-    pub(crate) started: Offset,
+    /// The newest offset when this process started. Claims up to this offset were made by an earlier process, even under
+    /// the same instance name.
+    pub(crate) start_offset: Offset,
 }
 
 impl Shared {
-    /// The epoch that this process holds, as the folded state shows it.
-    pub(crate) fn held(&self, state: &State) -> Option<Epoch> {
+    /// The epoch whose lease this process holds according to the folded state. `None` while the state is frozen.
+    pub(crate) fn held_epoch(&self, state: &State) -> Option<Epoch> {
         let lease = state.lease();
         let own = lease.holder.as_ref() == Some(&self.instance);
-        let live = own && lease.epoch.0 > self.started.0 && state.frozen().is_none();
-        live.then_some(lease.epoch)
+        let valid = own && lease.epoch.0 > self.start_offset.0 && state.frozen().is_none();
+        valid.then_some(lease.epoch)
     }
 
-    /// The epoch under which this process may append now: none while the log is down.
-    pub(crate) fn may_append(&self) -> Option<Epoch> {
-        self.journal.read(|state| self.held(state)).filter(|_| self.journal.log_up())
+    /// The epoch under which this process may append now. `None` while the log is down.
+    pub(crate) fn appendable_epoch(&self) -> Option<Epoch> {
+        self.journal.read(|state| self.held_epoch(state)).filter(|_| self.journal.log_up())
     }
 }
 
-/// Runs the planner role until the journal ends; it decides only while this process holds the lease.
+/// Runs the planner until the journal closes or the process shuts down. It decides only while this process holds the
+/// lease.
 pub async fn run(
     instance: InstanceId,
     journal: Journal,
@@ -97,30 +99,30 @@
     options: Options,
 ) {
     journal.ready().await;
-    let started = journal.read(State::offset);
-    let shared = Shared { instance, journal, recorder, options, started };
-    let (sender, sightings) = watch::channel(Sightings::default());
+    let start_offset = journal.read(State::offset);
+    let shared = Shared { instance, journal, recorder, options, start_offset };
+    let (sender, observations) = watch::channel(Observations::default());
     tokio::select! {
-        () = lease::keep(&shared) => {}
-        () = listing::watch(&shared, list, sender) => {}
-        () = rounds::decide(&shared, demand, sightings) => {}
-        () = snapshots::write(&shared) => {}
-        () = stopped(shared.options.stop.clone()) => resign(&shared).await,
+        () = lease::maintain(&shared) => {}
+        () = listing::watch_list(&shared, list, sender) => {}
+        () = rounds::run_rounds(&shared, demand, observations) => {}
+        () = snapshots::write_snapshots(&shared) => {}
+        () = wait_for_stop(shared.options.stop.clone()) => give_up_lease(&shared).await,
     }
 }
 
-async fn stopped(stop: Option<watch::Receiver<bool>>) {
+async fn wait_for_stop(stop: Option<watch::Receiver<bool>>) {
     match stop {
         Some(mut stop) => drop(stop.wait_for(|stop| *stop).await),
         None => std::future::pending().await,
     }
 }
 
-/// Gives the lease up, so that another process need not wait for it to lapse.
-async fn resign(shared: &Shared) {
-    let Some(epoch) = shared.may_append() else { return };
-    log::info!("planner: giving epoch {epoch} up");
-    if let Err(error) = shared.journal.append(Body::Resign { epoch }, RESIGN_LIMIT).await {
-        log::warn!("planner: {error}");
+/// Gives up the lease, so that another process need not wait until it lapses.
+async fn give_up_lease(shared: &Shared) {
+    let Some(epoch) = shared.appendable_epoch() else { return };
+    log::info!("planner: giving up the lease of epoch {epoch}");
+    if let Err(error) = shared.journal.append(Body::Resign { epoch }, RESIGN_TIMEOUT).await {
+        log::warn!("planner: failed to give up the lease: {error}");
     }
 }
--- a/components/planner/src/sample.rs
+++ b/components/planner/src/sample.rs
@@ -1,4 +1,4 @@
-//! Members, models and grants for tests.
+//! Sample members, models and grants for tests.
 
 use edge::{Instance, InstanceState};
 use record::{Attach, GrantId};
@@ -13,7 +13,7 @@
     DOMAINS[number % DOMAINS.len()].parse().expect("a domain")
 }
 
-/// What the agent of endpoint `number` says of itself.
+/// The attach record of the agent of endpoint `number`.
 pub(crate) fn attach(number: usize) -> Attach {
     let port = u16::try_from(20_000 + number).expect("a port");
     let addr = sample::addr(port);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Endpoint `number`, attached.
+/// Endpoint `number` as an attached member.
 pub(crate) fn member(number: usize) -> Member {
     Member { attach: attach(number), incarnation: Incarnation(100), leaving: false }
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A model with bounds on its replicas.
+/// A model with a minimum and a maximum number of replicas.
 pub(crate) fn leaf(name: &str, least: u32, most: u32) -> Leaf {
     let settings = Settings {
         service: Some("likhari".parse().expect("a service")),
--- a/components/planner/tests/common/agents.rs
+++ b/components/planner/tests/common/agents.rs
@@ -1,4 +1,4 @@
-//! Agents that attach, release what is revoked, leave, and die.
+//! Fake agents that attach, release revoked grants, leave and crash.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,18 +10,18 @@
 use tokio::task::JoinHandle;
 use units::{Domain, EndpointId, Incarnation, InstanceId};
 
-use super::{LIMIT, Site, Told, addr, serve};
+use super::{APPEND_TIMEOUT, LeavingNotices, Site, addr, serve};
 
 const DOMAINS: [&str; 4] = ["saddar", "clifton", "lyari", "korangi"];
-/// Control addresses of agents begin here.
-const BASE: usize = 1000;
+/// The number of the first agent's control address, see [`addr`].
+const FIRST_CONTROL_ADDR: usize = 1000;
 
-/// Many agents behind one journal.
+/// Many agents that share one journal.
 pub(crate) struct Agents {
     site: Site,
     pub(crate) journal: Journal,
-    live: Arc<Mutex<BTreeSet<usize>>>,
-    told: Told,
+    running: Arc<Mutex<BTreeSet<usize>>>,
+    leaving_notices: LeavingNotices,
     task: JoinHandle<()>,
 }
 
@@ -42,18 +42,24 @@
         instance: instance(number),
         domain: domain(number),
         previous,
-        ..sample::attach(endpoint(number).as_str(), addr(BASE + number))
+        ..sample::attach(endpoint(number).as_str(), addr(FIRST_CONTROL_ADDR + number))
     }
 }
 
 impl Agents {
-    /// Attaches agents 0 to `count` and puts them on the list.
+    /// Attaches `count` agents and adds their instances to the list.
     pub(crate) async fn start(site: &Site, count: usize) -> Self {
         let journal = site.journal("agents", Arc::new(site.log.clone()));
         journal.ready().await;
-        let live = Arc::<Mutex<BTreeSet<usize>>>::default();
-        let task = tokio::spawn(release_all(journal.clone(), live.clone()));
-        let agents = Self { site: site.clone(), journal, live, told: Told::default(), task };
+        let running = Arc::<Mutex<BTreeSet<usize>>>::default();
+        let task = tokio::spawn(release_all(journal.clone(), running.clone()));
+        let agents = Self {
+            site: site.clone(),
+            journal,
+            running,
+            leaving_notices: LeavingNotices::default(),
+            task,
+        };
         let mut list = site.list.newest();
         list.extend((0..count).map(|number| agents.listed(number)));
         site.list.set(list);
@@ -77,58 +83,58 @@
     pub(crate) async fn attach_as(&self, number: usize, instance: InstanceId) -> Verdict {
         serve(
             &self.site.net,
-            addr(BASE + number),
+            addr(FIRST_CONTROL_ADDR + number),
             instance.clone(),
             self.journal.clone(),
-            self.told(),
+            self.leaving_notices(),
         );
         let endpoint = endpoint(number);
         let previous = self.journal.read(|state| state.member(&endpoint).map(|m| m.incarnation));
         let attach = Attach { instance, ..attach(number, previous.unwrap_or_default()) };
         let body = Body::Attach(attach);
-        let applied = self.journal.append(body, LIMIT).await.expect("the log is up");
-        self.with_live(|live| live.insert(number));
+        let applied = self.journal.append(body, APPEND_TIMEOUT).await.expect("the log is up");
+        self.with_running(|running| running.insert(number));
         applied.verdicts[0].clone()
     }
 
-    /// The instances that agents were told to be leaving.
-    pub(crate) fn told(&self) -> Told {
-        self.told.clone()
+    /// The instances that agents were notified about as leaving.
+    pub(crate) fn leaving_notices(&self) -> LeavingNotices {
+        self.leaving_notices.clone()
     }
 
-    fn with_live<R>(&self, change: impl FnOnce(&mut BTreeSet<usize>) -> R) -> R {
-        change(&mut self.live.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_running<R>(&self, change: impl FnOnce(&mut BTreeSet<usize>) -> R) -> R {
+        change(&mut self.running.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The process dies, and the platform notices.
+    /// Crashes agents and removes their instances from the list.
     pub(crate) fn lose(&self, numbers: impl Iterator<Item = usize>) {
         let lost: BTreeSet<usize> = numbers.collect();
-        lost.iter().for_each(|number| self.die(*number));
+        lost.iter().for_each(|number| self.crash(*number));
         let mut list = self.site.list.newest();
         list.retain(|one| !lost.iter().any(|number| one.id == instance(*number)));
         self.site.list.set(list);
     }
 
-    /// The platform's list shows agents again.
+    /// Adds agents to the platform's list again.
     pub(crate) fn list(&self, numbers: &[usize]) {
         let mut list = self.site.list.newest();
         list.extend(numbers.iter().map(|number| self.listed(*number)));
         self.site.list.set(list);
     }
 
-    /// The process dies, but the list still shows it.
-    pub(crate) fn die(&self, number: usize) {
-        self.with_live(|live| live.remove(&number));
-        self.site.net.remove(addr(BASE + number));
+    /// Crashes an agent whose instance stays on the list.
+    pub(crate) fn crash(&self, number: usize) {
+        self.with_running(|running| running.remove(&number));
+        self.site.net.remove(addr(FIRST_CONTROL_ADDR + number));
     }
 
-    /// The agent says that it leaves.
+    /// Appends the agent's record that it leaves.
     pub(crate) async fn leave(&self, number: usize) {
         let endpoint = endpoint(number);
         let member = self.journal.read(|state| state.member(&endpoint).cloned());
         let incarnation = member.expect("a member").incarnation;
         let leave = Body::Leave { endpoint, incarnation };
-        self.journal.append(leave, LIMIT).await.expect("the log is up");
+        self.journal.append(leave, APPEND_TIMEOUT).await.expect("the log is up");
     }
 }
 
@@ -138,19 +144,20 @@
     }
 }
 
-/// Releases revoked grants of agents that live.
-async fn release_all(journal: Journal, live: Arc<Mutex<BTreeSet<usize>>>) {
+/// Releases the revoked grants of running agents.
+async fn release_all(journal: Journal, running: Arc<Mutex<BTreeSet<usize>>>) {
     let mut changes = journal.changes();
     while changes.changed().await.is_ok() {
-        let live = live.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let releases = journal.read(|state| revoked(state, &live));
-        let appends = releases.into_iter().map(|body| journal.append(body, LIMIT));
+        let running = running.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let releases = journal.read(|state| releases(state, &running));
+        let appends = releases.into_iter().map(|body| journal.append(body, APPEND_TIMEOUT));
         futures_util::future::join_all(appends).await;
     }
 }
 
-fn revoked(state: &State, live: &BTreeSet<usize>) -> Vec<Body> {
-    let members = live.iter().filter_map(|number| state.member(&endpoint(*number)));
+/// The records with which running agents release their revoked grants.
+fn releases(state: &State, running: &BTreeSet<usize>) -> Vec<Body> {
+    let members = running.iter().filter_map(|number| state.member(&endpoint(*number)));
     let release = members.filter_map(|member| {
         let at = state.grants_at(&member.attach.endpoint);
         let grants: Vec<GrantId> = at.filter(|grant| grant.revoked).map(|grant| grant.id).collect();
--- a/components/planner/tests/common/gate.rs
+++ b/components/planner/tests/common/gate.rs
@@ -1,4 +1,4 @@
-//! One process's way to the log, which can be shut: what it asks then waits until the gate opens again.
+//! One process's connection to the log, which can be blocked: its calls then wait until it is open again.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use units::Offset;
 
-/// A way to the log; clones share it.
+/// A connection to the log that can be blocked. Clones share one state.
 #[derive(Clone)]
 pub(crate) struct Gate {
     log: Log,
@@ -17,8 +17,9 @@
     appends: watch::Sender<bool>,
 }
 
-async fn open(shut: &watch::Sender<bool>) {
-    // The sender is borrowed, so the channel is open.
+/// Waits until the gate is open.
+async fn wait_until_open(shut: &watch::Sender<bool>) {
+    // The channel cannot close while its sender is borrowed.
     let mut shut = shut.subscribe();
     let _open = shut.wait_for(|shut| !shut).await;
 }
@@ -40,14 +41,14 @@
 #[async_trait]
 impl LogService for Gate {
     async fn append(&self, stream: Stream, records: Vec<Bytes>) -> Result<Offset, LogError> {
-        open(&self.appends).await;
+        wait_until_open(&self.appends).await;
         self.log.append(stream, records).await
     }
 
     async fn read(&self, stream: Stream, from: Offset, wait: Duration) -> Result<Page, LogError> {
-        open(&self.reads).await;
+        wait_until_open(&self.reads).await;
         let page = self.log.read(stream, from, wait).await;
-        open(&self.reads).await;
+        wait_until_open(&self.reads).await;
         page
     }
 }
--- a/components/planner/tests/common/history.rs
+++ b/components/planner/tests/common/history.rs
@@ -1,4 +1,4 @@
-//! What the log holds, folded again from its first record.
+//! Folds the log again from its first record and counts its records.
 
 use edge::Stream;
 use fake::Log;
@@ -19,11 +19,11 @@
     pub(crate) grants: usize,
     pub(crate) revokes: usize,
     pub(crate) gone: usize,
-    /// Decisions that did not.
+    /// Decisions that did not take effect.
     pub(crate) void: usize,
-    /// Whole snapshots, counted by their first part.
+    /// Snapshots, counted by their first part.
     pub(crate) snapshots: usize,
-    /// The most grants that any model had more than its bound allowed.
+    /// By how many grants a model exceeded its maximum at most.
     pub(crate) over: usize,
 }
 
--- a/components/planner/tests/common/mod.rs
+++ b/components/planner/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A site in memory: entries that may plan, agents that only keep to their grants, and the platform.
+//! A site in memory: entries that run the planner, agents that only follow their grants, and the platform.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -30,12 +30,12 @@
 pub(crate) use gate::Gate;
 pub(crate) use history::History;
 
-/// The lease in these tests.
+/// The lease duration in these tests.
 pub(crate) const LEASE: Duration = Duration::from_secs(5);
-/// Within this time another process has taken the lease over: the lease, its jitter, and the claim.
-pub(crate) const TAKEOVER: Duration = Duration::from_millis(8500);
-/// How long a record may take until it is read back.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
+/// The longest takeover of the lease by another process: the lease duration, the jitter and the claim.
+pub(crate) const MAX_TAKEOVER: Duration = Duration::from_millis(8500);
+/// How long an append may take until its record is read back.
+pub(crate) const APPEND_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The platform and network that the processes share.
 #[derive(Clone, Default)]
@@ -45,7 +45,7 @@
     pub(crate) net: Net,
 }
 
-/// An entry that may plan.
+/// An entry that runs the planner.
 pub(crate) struct Entry {
     pub(crate) name: InstanceId,
     pub(crate) journal: Journal,
@@ -61,12 +61,12 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub(crate) async fn pass(seconds: u64) {
+pub(crate) async fn sleep_secs(seconds: u64) {
     sleep(Duration::from_secs(seconds)).await;
 }
 
 impl Site {
-    /// A process's journal, without heartbeats to the others.
+    /// Starts a process's journal, without heartbeats to other processes.
     pub(crate) fn journal(&self, name: &str, service: Arc<dyn edge::LogService>) -> Journal {
         let instance: InstanceId = name.parse().expect("an instance");
         let options = journal::Options {
@@ -81,7 +81,7 @@
         self.entry_with(number, |_| {})
     }
 
-    /// Starts an entry.
+    /// Starts an entry with changed options.
     pub(crate) fn entry_with(&self, number: usize, change: impl FnOnce(&mut Options)) -> Entry {
         let name: InstanceId = format!("entry-{number}").parse().expect("an instance");
         let gate = Gate::new(self.log.clone());
@@ -107,21 +107,21 @@
         Entry { name, journal, demand, gate, options, stop, task: tokio::spawn(run) }
     }
 
-    /// What the log says so far.
+    /// Counts of the records in the log so far.
     pub(crate) fn history(&self) -> History {
         History::of(&self.log)
     }
 
-    /// The state that a new reader would fold.
+    /// The state folded from the whole log.
     pub(crate) fn state(&self) -> State {
         self.history().state
     }
 
-    /// Waits until the folded state is as wanted; says how long that took.
+    /// Waits until the folded state meets a condition. Returns how long that took.
     pub(crate) async fn until(&self, what: &str, is: impl Fn(&State) -> bool) -> Duration {
         let began = Instant::now();
         while !is(&self.state()) {
-            assert!(began.elapsed() < Duration::from_secs(300), "never: {what}");
+            assert!(began.elapsed() < Duration::from_secs(300), "timed out waiting for: {what}");
             sleep(Duration::from_millis(50)).await;
         }
         began.elapsed()
@@ -134,27 +134,27 @@
         state.lease().holder.as_ref() == Some(&self.name)
     }
 
-    /// Ends the process at once.
+    /// Cuts the process off from the log and aborts it.
     pub(crate) fn kill(self) {
         self.gate.shut_reads(true);
         self.gate.shut_appends(true);
         self.task.abort();
     }
 
-    /// Ends the process gracefully.
+    /// Shuts the process down gracefully.
     pub(crate) async fn shut_down(self) {
         self.stop.send_replace(true);
         self.task.await.expect("the planner ends");
     }
 }
 
-/// The entry that holds the lease, taken out of the others.
+/// Removes the entry that holds the lease from `entries` and returns it.
 pub(crate) fn take_holder(entries: &mut Vec<Entry>, state: &State) -> Entry {
     let at = entries.iter().position(|entry| entry.is_holder(state)).expect("a holder");
     entries.remove(at)
 }
 
-/// Epochs only grow; 0 before the first claim.
+/// The epoch of the lease: it only grows, and is 0 before the first claim.
 pub(crate) fn epoch(state: &State) -> Epoch {
     state.lease().epoch
 }
@@ -163,7 +163,7 @@
     NodePath::root().child("press").expect("a path").child(name).expect("a path")
 }
 
-/// Adds the branch under which all models are.
+/// The changes that add the branch above all models.
 pub(crate) fn add_branch() -> Vec<Change> {
     let branch = NodePath::root().child("press").expect("a path");
     let mut changes = vec![Change::Add { path: branch.clone(), kind: NodeKind::Branch }];
@@ -176,33 +176,33 @@
     Change::Set { path, setting: setting.parse().expect("a setting"), value }
 }
 
-/// Sets a setting of the branch above all models.
+/// The change of a setting of the branch above all models.
 pub(crate) fn set_all(setting: &str, value: Value) -> Change {
     set_at(NodePath::root().child("press").expect("a path"), setting, value)
 }
 
-/// Sets a setting of a model.
+/// The change of a setting of a model.
 pub(crate) fn set(model: &str, setting: &str, value: Value) -> Change {
     set_at(path(model), setting, value)
 }
 
-/// Adds a model that inherits everything.
+/// The change that adds a model that inherits all settings.
 pub(crate) fn add(model: &str) -> Change {
     Change::Add { path: path(model), kind: NodeKind::Model }
 }
 
-/// Adds an adapter to a model.
+/// The change that adds an adapter to a model.
 pub(crate) fn add_adapter(model: &str, name: &str) -> Change {
     Change::Add { path: path(model).child(name).expect("a path"), kind: NodeKind::Adapter }
 }
 
-/// Publishes an edit that is based on everything in force.
+/// Publishes an edit based on the newest revision.
 pub(crate) async fn publish(journal: &Journal, id: &str, changes: Vec<Change>) -> Applied {
     let base = journal.read(State::revision);
     publish_on(journal, id, base, changes).await
 }
 
-/// Publishes an edit that is based on a revision.
+/// Publishes an edit based on a given revision.
 pub(crate) async fn publish_on(
     journal: &Journal,
     id: &str,
@@ -211,20 +211,30 @@
 ) -> Applied {
     let id = id.parse().expect("an edit id");
     let edit = Edit { id, author: "amal".to_owned(), base, changes };
-    journal.append(Body::Edit(edit), LIMIT).await.expect("the log is up")
+    journal.append(Body::Edit(edit), APPEND_TIMEOUT).await.expect("the log is up")
 }
 
-/// The instances that agents were told to be leaving.
-pub(crate) type Told = Arc<Mutex<Vec<InstanceId>>>;
+/// The instances that agents were notified about as leaving.
+pub(crate) type LeavingNotices = Arc<Mutex<Vec<InstanceId>>>;
 
-/// Answers control messages at an address as the process of a live instance does.
-pub(crate) fn serve(net: &Net, at: SocketAddr, instance: InstanceId, journal: Journal, told: Told) {
+/// Answers control messages at an address as the process of a running instance does.
+pub(crate) fn serve(
+    net: &Net,
+    at: SocketAddr,
+    instance: InstanceId,
+    journal: Journal,
+    leaving_notices: LeavingNotices,
+) {
     net.serve(at, move |message: Bytes| {
-        let (journal, name, told) = (journal.clone(), instance.clone(), told.clone());
+        let (journal, name, leaving_notices) =
+            (journal.clone(), instance.clone(), leaving_notices.clone());
         async move {
             let control = serde_json::from_slice(&message).expect("a control message");
             if let Control::Leaving { instance } = &control {
-                told.lock().unwrap_or_else(PoisonError::into_inner).push(instance.clone());
+                leaving_notices
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push(instance.clone());
             }
             let reply = match journal.answer(control).await {
                 Reply::Position { applied, tick, .. } => {
--- a/components/planner/tests/grants.rs
+++ b/components/planner/tests/grants.rs
@@ -1,10 +1,10 @@
-//! Grants as the tree changes.
+//! Tests of the grants that follow changes of the tree and of demand.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Agents, Site, add, add_branch, epoch, pass, publish, publish_on, set};
+use common::{Agents, Site, add, add_branch, epoch, publish, publish_on, set, sleep_secs};
 use rstest::rstest;
 use serde_json::json;
 use state::{State, Verdict};
@@ -22,10 +22,10 @@
 }
 
 #[rstest]
-#[case::press(70, 12)]
-#[case::two_years(230, 100)]
+#[case::few_models(70, 12)]
+#[case::many_models(230, 100)]
 #[tokio::test(start_paused = true)]
-async fn can_grant_all_models_soon_after_an_edit(#[case] models: usize, #[case] agents: usize) {
+async fn all_models_are_granted_soon_after_an_edit(#[case] models: usize, #[case] agents: usize) {
     let site = Site::default();
     let entry = site.entry(1);
     let agents = Agents::start(&site, agents).await;
@@ -37,17 +37,17 @@
     assert!(took < Duration::from_secs(2), "{took:?}");
     let rounds = site.history().rounds;
     assert!(rounds <= planner::max_rounds(models, entry.options.max_decisions), "{rounds} rounds");
-    pass(60).await;
-    assert_eq!(site.history().rounds, rounds, "nothing more is decided");
+    sleep_secs(60).await;
+    assert_eq!(site.history().rounds, rounds, "a round was decided without a change");
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_pace_rounds_while_edits_pour_in() {
+async fn rounds_keep_their_interval_during_many_edits() {
     let site = Site::default();
     let entry = site.entry(1);
     let agents = Agents::start(&site, 12).await;
     publish(&agents.journal, "e0", add_branch()).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let (before, began) = (site.history().rounds, Instant::now());
     for i in 1..=100 {
         publish(&agents.journal, &format!("e{i}"), vec![add(&format!("m{i}"))]).await;
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_obey_the_first_of_two_edits_that_race_on_a_bound() {
+async fn the_first_of_two_concurrent_edits_of_a_bound_takes_effect() {
     let site = Site::default();
     let _entry = site.entry(1);
     let agents = Agents::start(&site, 8).await;
@@ -77,7 +77,7 @@
     assert_eq!(first.verdicts, vec![Verdict::Done]);
     assert!(matches!(second.verdicts[0], Verdict::Void(_)));
     site.until("one grant", |state| state.grants_of(&model("m")).count() == 1).await;
-    pass(60).await;
+    sleep_secs(60).await;
     let history = site.history();
     assert_eq!(history.state.grants_of(&model("m")).count(), 1);
     assert_eq!((history.over, history.revokes), (0, 1));
@@ -88,7 +88,7 @@
 #[case::pair(2, 1)]
 #[case::four(4, 2)]
 #[tokio::test(start_paused = true)]
-async fn can_roll_a_version_out_without_surge(#[case] most: usize, #[case] kept: usize) {
+async fn a_version_rolls_out_without_extra_replicas(#[case] most: usize, #[case] kept: usize) {
     let site = Site::default();
     let _entry = site.entry(1);
     let agents = Agents::start(&site, 8).await;
@@ -124,13 +124,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_add_a_replica_when_requests_are_refused() {
+async fn refused_requests_add_a_replica() {
     let site = Site::default();
     let entry = site.entry(1);
     let agents = Agents::start(&site, 8).await;
     publish(&agents.journal, "e1", [add_branch(), vec![add("m")]].concat()).await;
     site.until("a grant", |state| serving(state, "m") == 1).await;
-    pass(5).await;
+    sleep_secs(5).await;
     entry.demand.add(&[Demand { model: model("m"), requests: 20, refused: 3 }]);
     let took = site.until("another grant", |state| serving(state, "m") == 2).await;
     assert!(took < Duration::from_secs(3), "{took:?}");
@@ -140,27 +140,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_grant_on_demand_and_take_back_when_nobody_asks() {
+async fn a_model_is_granted_on_demand_and_revoked_when_idle() {
     let site = Site::default();
     let entry = site.entry(1);
     let agents = Agents::start(&site, 8).await;
     let start = vec![add("m"), set("m", "replicas-least", json!(0))];
     publish(&agents.journal, "e1", [add_branch(), start].concat()).await;
-    pass(30).await;
+    sleep_secs(30).await;
     assert_eq!(site.history().grants, 0);
     entry.demand.add(&[Demand { model: model("m"), requests: 1, refused: 0 }]);
     let took = site.until("a grant", |state| serving(state, "m") == 1).await;
     assert!(took < Duration::from_millis(500), "{took:?}");
-    pass(600).await;
+    sleep_secs(600).await;
     assert_eq!(serving(&site.state(), "m"), 1);
-    pass(600).await;
+    sleep_secs(600).await;
     let history = site.history();
     assert_eq!(history.state.grants_of(&model("m")).count(), 0);
     assert_eq!((history.grants, history.revokes), (1, 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_grant_for_a_closing_window_an_hour_ahead() {
+async fn replicas_for_a_closing_window_are_granted_an_hour_ahead() {
     let site = Site::default();
     let _entry = site.entry(1);
     let agents = Agents::start(&site, 8).await;
@@ -169,26 +169,26 @@
         json!([{ "opens": "monthly 2 10:00", "lasts": "2h", "zone": "UTC", "replicas": 2 }]);
     let start = vec![add("m"), set("m", "windows", window)];
     publish(&agents.journal, "e1", [add_branch(), start].concat()).await;
-    pass(3400).await;
+    sleep_secs(3400).await;
     assert_eq!(serving(&site.state(), "m"), 1);
-    pass(300).await;
+    sleep_secs(300).await;
     assert_eq!(serving(&site.state(), "m"), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_grant_again_what_a_planner_left_undone() {
+async fn a_new_planner_grants_what_the_last_one_did_not() {
     let site = Site::default();
     let mut entries: Vec<_> = (1..=3).map(|number| site.entry(number)).collect();
     let agents = Agents::start(&site, 8).await;
     site.until("a holder", |state| state.lease().holder.is_some()).await;
     let before = site.state();
-    // The holder can't append any more when the edit comes.
+    // The holder cannot append any more when the edit arrives.
     let holder = common::take_holder(&mut entries, &before);
     holder.gate.shut_appends(true);
     publish(&agents.journal, "e1", [add_branch(), vec![add("m")]].concat()).await;
     site.until("another holder", |state| epoch(state) > epoch(&before)).await;
     site.until("a grant", |state| serving(state, "m") == 1).await;
     holder.gate.shut_appends(false);
-    pass(30).await;
+    sleep_secs(30).await;
     assert_eq!(site.history().grants, 1);
 }
--- a/components/planner/tests/lease.rs
+++ b/components/planner/tests/lease.rs
@@ -1,18 +1,19 @@
-//! Who holds the planner lease when processes die, pause, race or lose the log.
+//! Tests of which entry holds the planner lease when processes crash, pause, race or lose the log.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{
-    Agents, Entry, LEASE, Site, TAKEOVER, add, add_branch, epoch, pass, publish, take_holder,
+    Agents, Entry, LEASE, MAX_TAKEOVER, Site, add, add_branch, epoch, publish, sleep_secs,
+    take_holder,
 };
 use edge::Stream;
 use record::{Body, Record};
 use rstest::rstest;
 use state::State;
 
-/// Entries of which one holds the lease.
+/// Starts entries and waits until one holds the lease.
 async fn entries(site: &Site, count: usize) -> Vec<Entry> {
     let entries: Vec<Entry> = (1..=count).map(|number| site.entry(number)).collect();
     site.until("a holder", |state| state.lease().holder.is_some()).await;
@@ -20,10 +21,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_elect_one_of_several_that_start_together() {
+async fn one_of_several_entries_that_start_together_is_elected() {
     let site = Site::default();
     let _entries = entries(&site, 4).await;
-    pass(60).await;
+    sleep_secs(60).await;
     let history = site.history();
     assert_eq!(history.elected, 1);
     assert!(history.claims <= 4, "{} claims", history.claims);
@@ -31,15 +32,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_take_over_from_a_planner_that_died() {
+async fn another_entry_takes_over_from_a_dead_planner() {
     let site = Site::default();
     let mut entries = entries(&site, 4).await;
     let agents = Agents::start(&site, 4).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.state();
     take_holder(&mut entries, &before).kill();
     let took = site.until("another holder", |state| epoch(state) > epoch(&before)).await;
-    assert!(took >= LEASE / 2 && took < TAKEOVER, "{took:?}");
+    assert!(took >= LEASE / 2 && took < MAX_TAKEOVER, "{took:?}");
     publish(&agents.journal, "e1", [add_branch(), vec![add("m")]].concat()).await;
     let took = site.until("a grant", |state| state.grants().count() == 1).await;
     assert!(took < Duration::from_secs(2), "{took:?}");
@@ -47,10 +48,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_take_over_at_once_from_a_planner_that_shuts_down() {
+async fn another_entry_takes_over_at_once_from_a_planner_that_shuts_down() {
     let site = Site::default();
     let mut entries = entries(&site, 4).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.state();
     take_holder(&mut entries, &before).shut_down().await;
     let took = site.until("another holder", |state| epoch(state) > epoch(&before)).await;
@@ -58,59 +59,59 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_restart_under_the_same_name_without_taking_the_old_epoch_for_its_own() {
+async fn a_restarted_entry_does_not_take_its_old_epoch_for_its_own() {
     let site = Site::default();
     let mut entries = entries(&site, 1).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.state();
     take_holder(&mut entries, &before).kill();
     let again = site.entry(1);
     let took = site.until("a new epoch", |state| epoch(state) > epoch(&before)).await;
-    assert!(took >= LEASE && took < TAKEOVER, "{took:?}");
+    assert!(took >= LEASE && took < MAX_TAKEOVER, "{took:?}");
     assert!(again.is_holder(&site.state()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_wake_a_paused_holder_that_does_no_harm() {
+async fn decisions_of_a_holder_that_was_paused_are_void() {
     let site = Site::default();
     let mut entries = entries(&site, 3).await;
     let agents = Agents::start(&site, 4).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.state();
     let paused = take_holder(&mut entries, &before);
-    // The holder has still read the edit and decides on it, but its append hangs.
+    // The holder still reads the edit and decides about it, but its append hangs.
     paused.gate.shut_appends(true);
     publish(&agents.journal, "e1", [add_branch(), vec![add("m")]].concat()).await;
-    pass(1).await;
+    sleep_secs(1).await;
     paused.gate.shut_reads(true);
     let took = site.until("another holder", |state| epoch(state) > epoch(&before)).await;
-    assert!(took < TAKEOVER, "{took:?}");
+    assert!(took < MAX_TAKEOVER, "{took:?}");
     site.until("a grant", |state| state.grants().count() == 1).await;
     let granted = site.history().grants;
     paused.gate.shut_appends(false);
-    pass(3).await;
+    sleep_secs(3).await;
     paused.gate.shut_reads(false);
-    pass(30).await;
+    sleep_secs(30).await;
     let history = site.history();
-    assert!(history.void > 0, "the old decision came and is void");
+    assert!(history.void > 0, "the old decision did not arrive or was not void");
     assert_eq!(history.grants, granted);
     assert_eq!(history.elected, 2);
     assert!(!paused.is_holder(&history.state));
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_keep_the_role_through_an_outage_without_a_rush_of_claims() {
+async fn the_holder_keeps_the_lease_through_an_outage_without_claims_by_others() {
     let site = Site::default();
     let entries = entries(&site, 8).await;
     let agents = Agents::start(&site, 4).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.history();
     site.log.set(|faults| faults.outage = true);
-    pass(120).await;
+    sleep_secs(120).await;
     assert_eq!(site.log.counters().records, before.state.offset().0);
     site.log.set(|faults| faults.outage = false);
     let back = site.log.counters().appends;
-    pass(60).await;
+    sleep_secs(60).await;
     let after = site.history();
     assert_eq!(after.claims, before.claims);
     assert_eq!(epoch(&after.state), epoch(&before.state));
@@ -122,68 +123,66 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_decide_nothing_while_the_log_is_down() {
+async fn nothing_is_decided_while_the_log_is_down() {
     let site = Site::default();
     let _entries = entries(&site, 4).await;
     let agents = Agents::start(&site, 8).await;
     publish(&agents.journal, "e1", [add_branch(), vec![add("m")]].concat()).await;
     site.until("a grant", |state| state.grants().count() == 1).await;
-    pass(10).await;
+    sleep_secs(10).await;
     site.log.set(|faults| faults.outage = true);
-    pass(10).await;
+    sleep_secs(10).await;
     let asked = site.log.counters().appends;
     agents.lose(0..2);
-    pass(60).await;
-    assert_eq!(site.log.counters().appends, asked, "nobody even tries");
+    sleep_secs(60).await;
+    assert_eq!(site.log.counters().appends, asked, "an entry tried to append");
     site.log.set(|faults| faults.outage = false);
     site.until("two members less", |state| state.members().count() == 6).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_stop_planning_at_a_record_that_needs_a_newer_program() {
+async fn planning_stops_at_a_record_that_needs_a_newer_program() {
     let site = Site::default();
     let _entries = entries(&site, 4).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let claim = Body::Claim { previous: epoch(&site.state()) };
     let name = "entry-9".parse().expect("an instance");
     let record = Record::new("new".to_owned(), name, 0, site.state().offset(), claim);
     let record = Record { needs: record::FORMAT + 1, ..record };
     site.log.put(Stream::Control, serde_json::to_vec(&record).expect("text"));
-    pass(1).await;
+    sleep_secs(1).await;
     let asked = site.log.counters().appends;
-    pass(60).await;
-    assert_eq!(site.log.counters().appends, asked, "nobody claims or renews");
+    sleep_secs(60).await;
+    assert_eq!(site.log.counters().appends, asked, "an entry tried to claim or renew");
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_replace_a_holder_that_died_in_an_outage_with_few_claims() {
+async fn few_claims_replace_a_holder_that_died_in_an_outage() {
     let site = Site::default();
     let mut entries = entries(&site, 8).await;
-    pass(10).await;
+    sleep_secs(10).await;
     let before = site.history();
     site.log.set(|faults| faults.outage = true);
-    pass(60).await;
+    sleep_secs(60).await;
     take_holder(&mut entries, &before.state).kill();
-    pass(60).await;
+    sleep_secs(60).await;
     site.log.set(|faults| faults.outage = false);
     let took = site.until("another holder", |state| epoch(state) > epoch(&before.state)).await;
     assert!(took >= LEASE, "{took:?}");
-    assert!(took < TAKEOVER + Duration::from_secs(3), "{took:?}");
-    pass(60).await;
+    assert!(took < MAX_TAKEOVER + Duration::from_secs(3), "{took:?}");
+    sleep_secs(60).await;
     let after = site.history();
     assert_eq!(after.elected, before.elected + 1);
     assert!(after.claims <= before.claims + 3, "{} claims", after.claims - before.claims);
 }
 
-/// One record or the return of the log wakes all entries at the same instant: only their jitter keeps their claims apart, whatever
-/// their names, however many there are, and wherever in a renewal the holder ends.
+/// A record or the return of the log wakes all entries at the same time, so only the jitter separates their claims. It
+/// must do so for any names, for any number of entries, and at any time between two renewals at which the holder dies.
 #[rstest]
 #[case::eight(8)]
 #[case::twelve(12)]
 #[tokio::test(start_paused = true)]
-async fn can_replace_a_holder_with_few_claims_whatever_the_names_and_the_moment(
-    #[case] count: usize,
-) {
+async fn few_claims_replace_a_holder_with_any_names_at_any_time(#[case] count: usize) {
     for round in 0..24_u32 {
         let site = Site::default();
         let first = 100 * (round as usize + 1);
@@ -196,10 +195,10 @@
         tokio::time::sleep(Duration::from_millis(u64::from(round) * 71)).await;
         let before = site.history();
         take_holder(&mut entries, &before.state).kill();
-        pass(u64::from(round % 5)).await;
+        sleep_secs(u64::from(round % 5)).await;
         site.log.set(|faults| faults.outage = false);
         site.until("another holder", |state| epoch(state) > epoch(&before.state)).await;
-        pass(60).await;
+        sleep_secs(60).await;
         let after = site.history();
         assert_eq!(after.elected, before.elected + 1, "round {round}");
         let claims = after.claims - before.claims;
@@ -208,23 +207,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_claim_once_although_answers_are_lost() {
+async fn one_claim_takes_effect_although_answers_are_lost() {
     let site = Site::default();
     site.log.set(|faults| faults.lost = 3);
     let _entries = entries(&site, 4).await;
-    pass(60).await;
+    sleep_secs(60).await;
     let history = site.history();
     assert_eq!(history.elected, 1);
     assert!(history.claims <= 8, "{} claims", history.claims);
 }
 
 #[tokio::test(start_paused = true)]
-async fn can_write_snapshots_from_one_process_only() {
+async fn only_one_process_writes_snapshots() {
     let site = Site::default();
     let entries = entries(&site, 4).await;
-    pass(2 * 3600).await;
+    sleep_secs(2 * 3600).await;
     let history = site.history();
-    // The first comes after 2000 records, mostly renewals, the others every quarter of an hour.
+    // The first snapshot is due after 2000 records, mostly renewals, the others every quarter of an hour.
     assert!((4..=6).contains(&history.snapshots), "{} snapshots", history.snapshots);
     let offsets: Vec<_> = entries.iter().map(|e| e.journal.read(State::offset)).collect();
     assert!(offsets.iter().all(|offset| *offset == history.state.offset()));
