--- a/components/planner/src/decide/tests.rs
+++ b/components/planner/src/decide/tests.rs
@@ -31,8 +31,8 @@
     Model { leaf: leaf.clone(), closing: Closing::default(), wanted, idle: true }
 }
 
-fn round(input: &RoundInput, observations: &Observations, batch: usize) -> Vec<Decision> {
-    let rules = Rules { observations, absence_timeout: ABSENCE_TIMEOUT, max_decisions: batch };
+fn round(input: &RoundInput, observations: &Observations, max_decisions: usize) -> Vec<Decision> {
+    let rules = Rules { observations, absence_timeout: ABSENCE_TIMEOUT, max_decisions };
     let models: Vec<Model> = input.leaves.iter().map(with_minimum).collect();
     decide(input, &models, &rules).decisions
 }
--- a/components/planner/src/rounds.rs
+++ b/components/planner/src/rounds.rs
@@ -214,8 +214,8 @@
             format!("the grant of {model}#{index} to {endpoint}")
         }
         Decision::Revoke { grant, .. } => {
-            format!("the end of grant {}.{}", grant.offset, grant.part)
+            format!("the revocation of grant {}.{}", grant.offset, grant.part)
         }
-        Decision::Gone { endpoint, .. } => format!("dropping {endpoint}"),
+        Decision::Gone { endpoint, .. } => format!("declaring {endpoint} gone"),
     }
 }
