--- a/components/agent/src/keeper.rs
+++ b/components/agent/src/keeper.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use edge::OrderKind;
-use policy::Store;
+use policy::StoreCapacity;
 use record::{Body, GrantId};
 use timeline::Kind;
 use tokio::sync::watch;
@@ -180,9 +180,10 @@
             return;
         }
         self.looked = Some(Instant::now());
-        let (agent, store) = (&self.agent, Store::default());
+        let (agent, store) = (&self.agent, StoreCapacity::default());
         let (endpoint, now) = (&agent.settings.endpoint, agent.calendar.now());
-        let needs = agent.journal.read(|state| policy::needs(state, endpoint, now, &store));
+        let needs =
+            agent.journal.read(|state| policy::needed_replicas(state, endpoint, now, &store));
         agent.desk().hold(&needs);
     }
 
--- a/components/agent/src/warm.rs
+++ b/components/agent/src/warm.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jiff::Timestamp;
-use policy::{Costs, Gaps, KeepWarm, Need};
+use policy::{Costs, Gaps, KeepWarm, NeededReplica};
 use tokio::time::Instant;
 
 use crate::desk::Desk;
@@ -62,8 +62,8 @@
             return most;
         }
         let (cold_weight, idle_weight) = (limits.cold_weight, limits.idle_weight);
-        let costs = Costs { cold: reload, cold_weight, idle_weight };
-        KeepWarm::Cheapest.stay(&self.gaps, &costs, most).max(LEAST.min(most))
+        let costs = Costs { cold_start: reload, cold_start_weight: cold_weight, idle_weight };
+        KeepWarm::Cheapest.keep_time(&self.gaps, &costs, most).max(LEAST.min(most))
     }
 }
 
@@ -77,10 +77,11 @@
 
 impl Desk {
     /// Takes over what closing windows need here.
-    pub(crate) fn hold(&mut self, needs: &[Need]) {
+    pub(crate) fn hold(&mut self, needs: &[NeededReplica]) {
         for replica in self.replicas.values_mut() {
             let index = replica.grant.as_ref().filter(|held| !held.revoked).map(|held| held.index);
-            let own = |need: &&Need| need.model == replica.model && Some(need.index) == index;
+            let own =
+                |need: &&NeededReplica| need.model == replica.model && Some(need.index) == index;
             let window = needs.iter().find(own).map(|need| need.opens);
             replica.warmth.hold(window, replica.phase == Phase::Ready);
         }
--- a/components/planner/examples/capacity.rs
+++ b/components/planner/examples/capacity.rs
@@ -91,7 +91,8 @@
     let mut times: Vec<Duration> = Vec::with_capacity(MEASUREMENTS);
     for _ in 0..MEASUREMENTS {
         let began = Instant::now();
-        let needs = policy::needs(state, endpoint, now, &policy::Store::default());
+        let needs =
+            policy::needed_replicas(state, endpoint, now, &policy::StoreCapacity::default());
         times.push(began.elapsed());
         assert!(needs.len() <= state.grants_at(endpoint).count());
     }
--- a/components/planner/src/balance.rs
+++ b/components/planner/src/balance.rs
@@ -28,7 +28,7 @@
     let mut draft = Draft::new(rules, &members);
     let (grouped, _) = group_by_model(models, input.grants.iter());
     draft.add_held(&grouped);
-    let idle = grouped.iter().filter(|(model, _)| model.idle && model.closing.near == 0);
+    let idle = grouped.iter().filter(|(model, _)| model.idle && model.closing.near_replicas == 0);
     let movable = idle.flat_map(|(model, grants)| {
         let model_grants = grants.as_slice();
         grants.iter().map(move |grant| (*model, *grant, model_grants))
--- a/components/planner/src/balance/tests.rs
+++ b/components/planner/src/balance/tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use policy::{Closing, Wanted};
+use policy::{ClosingDemand, ReplicaTarget};
 use record::{Decision, GrantId};
 use rstest::rstest;
 use state::Grant;
@@ -27,8 +27,8 @@
 fn search(input: &RoundInput, idle: bool, first: usize) -> Option<GrantId> {
     let model = |leaf: &Arc<Leaf>| Model {
         leaf: leaf.clone(),
-        closing: Closing::default(),
-        wanted: Wanted { replicas: 1, reason: "least" },
+        closing: ClosingDemand::default(),
+        target: ReplicaTarget { replicas: 1, reason: "least" },
         idle,
     };
     let models: Vec<Model> = input.leaves.iter().map(model).collect();
--- a/components/planner/src/decide/tests.rs
+++ b/components/planner/src/decide/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use edge::InstanceState;
-use policy::{Closing, Wanted};
+use policy::{ClosingDemand, ReplicaTarget};
 use record::Decision;
 use rstest::rstest;
 use state::{Grant, Member};
@@ -27,8 +27,8 @@
 /// A model whose target is its minimum number of replicas.
 fn with_minimum(leaf: &Arc<Leaf>) -> Model {
     let replicas = leaf.settings.replicas_least;
-    let wanted = Wanted { replicas, reason: "least" };
-    Model { leaf: leaf.clone(), closing: Closing::default(), wanted, idle: true }
+    let target = ReplicaTarget { replicas, reason: "least" };
+    Model { leaf: leaf.clone(), closing: ClosingDemand::default(), target, idle: true }
 }
 
 fn round(input: &RoundInput, observations: &Observations, max_decisions: usize) -> Vec<Decision> {
--- a/components/planner/src/draft.rs
+++ b/components/planner/src/draft.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 
 use jiff::Timestamp;
-use policy::{Held, Host, Weights, Wish, place, saving};
+use policy::{
+    CandidateEndpoint, HeldGrant, PlacementWeights, ReplicaSpec, choose_endpoint, relocation_saving,
+};
 use record::Decision;
 use state::{Grant, Member};
 use tree::Leaf;
@@ -35,22 +37,23 @@
 pub(crate) struct Draft<'a> {
     rules: &'a Rules<'a>,
     members: HashMap<&'a EndpointId, &'a Member>,
-    hosts: Vec<Host>,
-    host_indices: HashMap<&'a EndpointId, usize>,
+    candidates: Vec<CandidateEndpoint>,
+    candidate_indices: HashMap<&'a EndpointId, usize>,
     pub(crate) round: Round,
 }
 
 impl<'a> Draft<'a> {
     pub(crate) fn new(rules: &'a Rules<'a>, remaining: &[&'a Member]) -> Self {
-        let hosts: Vec<Host> = remaining.iter().map(|member| host(member, rules)).collect();
+        let candidates: Vec<CandidateEndpoint> =
+            remaining.iter().map(|member| candidate(member, rules)).collect();
         let members = remaining.iter().map(|member| (&member.attach.endpoint, *member));
-        let host_indices =
+        let candidate_indices =
             remaining.iter().enumerate().map(|(i, member)| (&member.attach.endpoint, i));
         Self {
             rules,
             members: members.collect(),
-            hosts,
-            host_indices: host_indices.collect(),
+            candidates,
+            candidate_indices: candidate_indices.collect(),
             round: Round::default(),
         }
     }
@@ -62,8 +65,8 @@
     pub(crate) fn add_held(&mut self, models: &[ModelGrants<'_>]) {
         for (model, grants) in models {
             for grant in grants {
-                if let Some(&i) = self.host_indices.get(&grant.endpoint) {
-                    self.hosts[i].held.push(held(model));
+                if let Some(&i) = self.candidate_indices.get(&grant.endpoint) {
+                    self.candidates[i].grants.push(held_grant(model));
                 }
             }
         }
@@ -77,7 +80,7 @@
     ) -> (bool, Timestamp, ModelName) {
         let served =
             grants.iter().any(|grant| self.status(&model.leaf, grant) == GrantStatus::Keep);
-        let opens = model.closing.opens.unwrap_or(Timestamp::MAX);
+        let opens = model.closing.next_opening.unwrap_or(Timestamp::MAX);
         (served, opens, model.leaf.model.clone())
     }
 
@@ -116,15 +119,15 @@
         if self.is_full() {
             return;
         }
-        let (leaf, wanted) = (&model.leaf, &model.wanted);
+        let (leaf, target) = (&model.leaf, &model.target);
         let mut grants: Vec<(&Grant, GrantStatus)> =
             grants.iter().map(|grant| (*grant, self.status(leaf, grant))).collect();
         grants.sort_by_key(|(grant, _)| grant.index);
         let kept = with_status(&grants, |status| status == GrantStatus::Keep);
         self.revoke_leaving(&grants);
-        self.revoke_replaced(leaf, &grants, wanted.replicas);
-        self.revoke_surplus(leaf, &grants, wanted.replicas);
-        let short = wanted.replicas.saturating_sub(to_u32(kept.len()));
+        self.revoke_replaced(leaf, &grants, target.replicas);
+        self.revoke_surplus(leaf, &grants, target.replicas);
+        let short = target.replicas.saturating_sub(to_u32(kept.len()));
         let room = leaf.settings.replicas_most.saturating_sub(to_u32(grants.len()));
         self.grant(model, &grants, short.min(room));
     }
@@ -137,9 +140,9 @@
 
     /// Revokes grants that must be replaced, except as many as are still needed to serve the model until their
     /// replacements are granted.
-    fn revoke_replaced(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], wanted: u32) {
+    fn revoke_replaced(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], target: u32) {
         let kept = to_u32(with_status(grants, |status| status == GrantStatus::Keep).len());
-        let floor = if leaf.settings.replicas_most > 1 { wanted.div_ceil(KEPT_DIVISOR) } else { 0 };
+        let floor = if leaf.settings.replicas_most > 1 { target.div_ceil(KEPT_DIVISOR) } else { 0 };
         let needed = floor.saturating_sub(kept) as usize;
         let outdated = grants.iter().filter_map(|(grant, status)| match status {
             GrantStatus::Replace(reason) => Some((*grant, *reason)),
@@ -153,13 +156,13 @@
 
     /// Revokes kept grants above the target number, and grants of unresponsive endpoints above the model's
     /// maximum number of replicas.
-    fn revoke_surplus(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], wanted: u32) {
+    fn revoke_surplus(&mut self, leaf: &Leaf, grants: &[(&Grant, GrantStatus)], target: u32) {
         let kept = with_status(grants, |status| status == GrantStatus::Keep);
-        for grant in kept.iter().skip(wanted as usize) {
+        for grant in kept.iter().skip(target as usize) {
             self.revoke(grant, "more than wanted");
         }
         let unresponsive = with_status(grants, |status| status == GrantStatus::Unresponsive);
-        let room = leaf.settings.replicas_most.saturating_sub(to_u32(kept.len()).min(wanted));
+        let room = leaf.settings.replicas_most.saturating_sub(to_u32(kept.len()).min(target));
         for grant in unresponsive.iter().skip(room as usize) {
             self.revoke(grant, "over the bound");
         }
@@ -184,22 +187,23 @@
             if self.is_full() {
                 return;
             }
-            let request = self.placement_request(model, free_index(&taken), service, &domains);
-            let Some(i) = place(&self.hosts, &request, &Weights::default()) else {
+            let replica = self.replica_spec(model, free_index(&taken), service, &domains);
+            let Some(i) = choose_endpoint(&self.candidates, &replica, &PlacementWeights::default())
+            else {
                 self.round.unplaced += 1;
                 return;
             };
-            let index = request.index;
+            let index = replica.index;
             taken.push(index);
             self.round.decisions.push(Decision::Grant {
                 model: leaf.model.clone(),
                 index,
                 artifact: leaf.artifact.clone(),
-                endpoint: self.hosts[i].endpoint.clone(),
-                reason: format!("{}: {} wanted", model.wanted.reason, model.wanted.replicas),
+                endpoint: self.candidates[i].endpoint.clone(),
+                reason: format!("{}: {} wanted", model.target.reason, model.target.replicas),
             });
-            domains.push(self.hosts[i].domain.clone());
-            self.hosts[i].held.push(held(model));
+            domains.push(self.candidates[i].domain.clone());
+            self.candidates[i].grants.push(held_grant(model));
         }
     }
 
@@ -218,28 +222,28 @@
         let others = grants.iter().filter(|other| other.id != grant.id);
         let domains: Vec<Domain> =
             others.filter_map(|other| self.domain(&other.endpoint)).collect();
-        let request =
-            self.placement_request(model, grant.index, leaf.settings.service.as_ref()?, &domains);
-        let current = *self.host_indices.get(&grant.endpoint)?;
-        saving(&self.hosts, current, &request, &Weights::default())
+        let replica =
+            self.replica_spec(model, grant.index, leaf.settings.service.as_ref()?, &domains);
+        let current = *self.candidate_indices.get(&grant.endpoint)?;
+        relocation_saving(&self.candidates, current, &replica, &PlacementWeights::default())
     }
 
-    fn placement_request<'w>(
+    fn replica_spec<'w>(
         &self,
         model: &'w Model,
         index: ReplicaIndex,
         service: &'w ServiceName,
         domains: &'w [Domain],
-    ) -> Wish<'w> {
+    ) -> ReplicaSpec<'w> {
         let leaf = &model.leaf;
-        Wish {
+        ReplicaSpec {
             model: &leaf.model,
             index,
             artifact: &leaf.artifact,
             service,
-            need: memory_needed(leaf),
-            opens: model.closing.opens,
-            domains,
+            memory: memory_needed(leaf),
+            next_opening: model.closing.next_opening,
+            other_domains: domains,
         }
     }
 
@@ -248,16 +252,17 @@
     }
 }
 
-fn host(member: &Member, rules: &Rules<'_>) -> Host {
+fn candidate(member: &Member, rules: &Rules<'_>) -> CandidateEndpoint {
     let attach = &member.attach;
-    Host {
+    CandidateEndpoint {
         endpoint: attach.endpoint.clone(),
         domain: attach.domain.clone(),
         service: attach.service.clone(),
         memory: attach.memory,
         cached: attach.cached.clone(),
-        held: Vec::new(),
-        open: !is_leaving(member, rules.observations) && !rules.observations.is_absent(member),
+        grants: Vec::new(),
+        accepts_grants: !is_leaving(member, rules.observations)
+            && !rules.observations.is_absent(member),
     }
 }
 
@@ -272,9 +277,13 @@
     grants.iter().filter(|(_, status)| matches(*status)).map(|(grant, _)| *grant).collect()
 }
 
-fn held(model: &Model) -> Held {
+fn held_grant(model: &Model) -> HeldGrant {
     let leaf = &model.leaf;
-    Held { model: leaf.model.clone(), need: memory_needed(leaf), opens: model.closing.opens }
+    HeldGrant {
+        model: leaf.model.clone(),
+        memory: memory_needed(leaf),
+        next_opening: model.closing.next_opening,
+    }
 }
 
 /// The accelerator memory that a replica takes: its weights and the room for its KV cache.
--- a/components/planner/src/forecast.rs
+++ b/components/planner/src/forecast.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use policy::{Bounds, Closing, Forecast, IDLE_RATE, Wanted, wanted};
+use policy::{ClosingDemand, Forecast, IDLE_RATE, ReplicaBounds, ReplicaTarget, target_replicas};
 use tokio::time::Instant;
 use tree::Leaf;
 use units::ModelName;
@@ -58,9 +58,9 @@
         &mut self,
         leaf: &Leaf,
         granted: u32,
-        closing: &Closing,
+        closing: &ClosingDemand,
         now: Instant,
-    ) -> Wanted {
+    ) -> ReplicaTarget {
         let new_demand = || ModelDemand {
             rate: 0.0,
             refused: false,
@@ -74,29 +74,30 @@
         }
         let can_step =
             demand.raised_at.is_none_or(|at| now.duration_since(at) >= REFUSAL_STEP_INTERVAL);
-        let bounds = Bounds {
-            least: leaf.settings.replicas_least,
-            most: leaf.settings.replicas_most,
+        let bounds = ReplicaBounds {
+            min: leaf.settings.replicas_least,
+            max: leaf.settings.replicas_most,
             batch: leaf.settings.batch,
-            now: granted,
+            current: granted,
         };
         let forecast = Forecast {
-            rate: demand.rate,
+            request_rate: demand.rate,
             refused: demand.refused && can_step,
-            window: closing.near,
-            lately: demand.floor,
+            window_replicas: closing.near_replicas,
+            recent_peak: demand.floor,
         };
-        let wanted = wanted(&bounds, &forecast);
+        let target = target_replicas(&bounds, &forecast);
         if forecast.refused {
             demand.refused = false;
             demand.raised_at = Some(now);
         }
-        let peak = policy::wanted(&bounds, &Forecast { lately: 0, ..forecast }).replicas;
+        let peak =
+            policy::target_replicas(&bounds, &Forecast { recent_peak: 0, ..forecast }).replicas;
         if peak >= demand.floor {
             demand.floor = peak;
             demand.floor_until = now + SCALE_DOWN_DELAY;
         }
-        wanted
+        target
     }
 
     /// Whether a model has had almost no requests for some time.
--- a/components/planner/src/forecast/tests.rs
+++ b/components/planner/src/forecast/tests.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use policy::{Closing, Wanted};
+use policy::{ClosingDemand, ReplicaTarget};
 use tokio::time::{Instant, advance};
 use tree::Leaf;
 
@@ -9,8 +9,8 @@
 use crate::demand::RequestCounts;
 use crate::sample::leaf;
 
-fn target(forecasts: &mut Forecasts, leaf: &Leaf, granted: u32) -> Wanted {
-    forecasts.target(leaf, granted, &Closing::default(), Instant::now())
+fn target(forecasts: &mut Forecasts, leaf: &Leaf, granted: u32) -> ReplicaTarget {
+    forecasts.target(leaf, granted, &ClosingDemand::default(), Instant::now())
 }
 
 /// Records the same numbers of requests and refusals every second for `seconds`.
@@ -33,10 +33,10 @@
     let (mut forecasts, leaf) = (Forecasts::default(), leaf("m", 1, 4));
     assert_eq!(target(&mut forecasts, &leaf, 1).replicas, 1);
     record_seconds(&mut forecasts, &leaf, 120, 4, 0).await;
-    assert_eq!(target(&mut forecasts, &leaf, 1), Wanted { replicas: 3, reason: "demand" });
+    assert_eq!(target(&mut forecasts, &leaf, 1), ReplicaTarget { replicas: 3, reason: "demand" });
     record_seconds(&mut forecasts, &leaf, 500, 0, 0).await;
-    let wanted = target(&mut forecasts, &leaf, 3);
-    assert_eq!(wanted, Wanted { replicas: 3, reason: "demand was higher lately" });
+    let found = target(&mut forecasts, &leaf, 3);
+    assert_eq!(found, ReplicaTarget { replicas: 3, reason: "demand was higher lately" });
     record_seconds(&mut forecasts, &leaf, 101, 0, 0).await;
     assert_eq!(target(&mut forecasts, &leaf, 3).replicas, 1);
 }
--- a/components/planner/src/round_input.rs
+++ b/components/planner/src/round_input.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use policy::{Closing, Wanted};
+use policy::{ClosingDemand, ReplicaTarget};
 use state::{Grant, Member, State};
 use tree::{Leaf, NodeKind};
 use units::{Epoch, ModelName};
@@ -12,8 +12,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Model {
     pub(crate) leaf: Arc<Leaf>,
-    pub(crate) closing: Closing,
-    pub(crate) wanted: Wanted,
+    pub(crate) closing: ClosingDemand,
+    pub(crate) target: ReplicaTarget,
     /// Whether the model has had almost no requests for some time.
     pub(crate) idle: bool,
 }
--- a/components/planner/src/rounds.rs
+++ b/components/planner/src/rounds.rs
@@ -6,7 +6,7 @@
 
 use jiff::Timestamp;
 use journal::AppendError;
-use policy::Closing;
+use policy::ClosingDemand;
 use record::{Body, Decision};
 use state::{Applied, State, Verdict};
 use timeline::Kind;
@@ -146,11 +146,11 @@
 ) -> Vec<Model> {
     let granted_counts = input.granted_counts();
     let size = |leaf: &Arc<Leaf>| {
-        let closing = Closing::at(&leaf.settings.windows, wall_time);
+        let closing = ClosingDemand::at(&leaf.settings.windows, wall_time);
         let count = granted_counts.get(&leaf.model).copied().unwrap_or_default();
-        let wanted = forecasts.target(leaf, count, &closing, now);
+        let target = forecasts.target(leaf, count, &closing, now);
         let idle = forecasts.is_idle(&leaf.model);
-        Model { leaf: leaf.clone(), closing, wanted, idle }
+        Model { leaf: leaf.clone(), closing, target, idle }
     };
     let models: Vec<Model> = input.leaves.iter().map(size).collect();
     let names: HashSet<&ModelName> = input.leaves.iter().map(|leaf| &leaf.model).collect();
--- a/components/policy/src/calendar.rs
+++ b/components/policy/src/calendar.rs
@@ -1,21 +1,21 @@
-//! The wall clock that closing windows are read against.
+//! The wall clock with which closing windows are evaluated.
 
 use jiff::Timestamp;
 use tokio::time::Instant;
 
-/// Tells calendar time. It is used for closing windows only, never to order events.
+/// Tells the calendar time. It is used only for closing windows, never to order events.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Calendar {
     pinned: Option<(Timestamp, Instant)>,
 }
 
 impl Calendar {
-    /// The clock of the machine.
+    /// The system clock.
     pub fn system() -> Self {
         Self::default()
     }
 
-    /// A clock that shows `now` at once and then follows the runtime's clock, so that tests can move it.
+    /// A clock that starts at `now` and then follows the runtime's clock, so that tests can advance it.
     pub fn starting(now: Timestamp) -> Self {
         Self { pinned: Some((now, Instant::now())) }
     }
--- a/components/policy/src/evict.rs
+++ b/components/policy/src/evict.rs
@@ -1,4 +1,4 @@
-//! Which idle replica is worth least.
+//! Computes which idle replica is cheapest to evict.
 
 use std::time::Duration;
 
@@ -6,20 +6,25 @@
 
 use crate::{Costs, Gaps};
 
-/// How far ahead a replica's next request is looked for.
-const HORIZON: Duration = Duration::from_secs(600);
-/// The chance of a request within the horizon for a model that has no history.
-const UNKNOWN: f64 = 0.5;
-/// Memory is counted in units of this size.
-const UNIT: f64 = (1_u64 << 30) as f64;
+/// How far ahead the next request of a replica is considered.
+const REQUEST_HORIZON: Duration = Duration::from_secs(600);
+/// The probability of a request within the horizon for a model without history.
+const UNKNOWN_PROBABILITY: f64 = 0.5;
+/// Eviction costs are per GiB of memory.
+const BYTES_PER_GIB: f64 = (1_u64 << 30) as f64;
 
-/// What is lost by evicting a replica that has been idle for `idle`: the likely cold start for each GiB.
-/// The replica with the lowest value goes first.
+/// The expected cost of evicting a replica that has been idle for `idle`: the probability of a request soon, times the cost
+/// of a cold start, per GiB of memory that the eviction frees.
+/// The replica with the lowest cost is evicted first.
 #[expect(clippy::cast_precision_loss, reason = "a value needs no exact bytes")]
-pub fn idle_value(gaps: &Gaps, costs: &Costs, idle: Duration, memory: Size) -> f64 {
+pub fn eviction_cost(gaps: &Gaps, costs: &Costs, idle: Duration, memory: Size) -> f64 {
     let known = gaps.count() > 0;
-    let chance = if known { gaps.ending(idle, idle + HORIZON) } else { UNKNOWN };
-    chance * costs.miss() / (memory.0 as f64 / UNIT).max(f64::MIN_POSITIVE)
+    let probability = if known {
+        gaps.fraction_ending(idle, idle + REQUEST_HORIZON)
+    } else {
+        UNKNOWN_PROBABILITY
+    };
+    probability * costs.cold_start_cost() / (memory.0 as f64 / BYTES_PER_GIB).max(f64::MIN_POSITIVE)
 }
 
 #[cfg(test)]
--- a/components/policy/src/evict/tests.rs
+++ b/components/policy/src/evict/tests.rs
@@ -2,10 +2,11 @@
 
 use units::Size;
 
-use super::idle_value;
+use super::eviction_cost;
 use crate::{Costs, Gaps};
 
-const COSTS: Costs = Costs { cold: Duration::from_secs(30), cold_weight: 1.0, idle_weight: 1.0 };
+const COSTS: Costs =
+    Costs { cold_start: Duration::from_secs(30), cold_start_weight: 1.0, idle_weight: 1.0 };
 
 fn gaps(gap: u64) -> Gaps {
     let mut gaps = Gaps::default();
@@ -14,17 +15,17 @@
 }
 
 #[test]
-fn can_value_a_replica_that_is_needed_soon() {
+fn evicting_a_replica_that_is_needed_soon_costs_more() {
     let idle = Duration::from_secs(60);
-    let soon = idle_value(&gaps(300), &COSTS, idle, Size::gib(8));
-    let late = idle_value(&gaps(9000), &COSTS, idle, Size::gib(8));
-    let unknown = idle_value(&Gaps::default(), &COSTS, idle, Size::gib(8));
+    let soon = eviction_cost(&gaps(300), &COSTS, idle, Size::gib(8));
+    let late = eviction_cost(&gaps(9000), &COSTS, idle, Size::gib(8));
+    let unknown = eviction_cost(&Gaps::default(), &COSTS, idle, Size::gib(8));
     assert!(soon > unknown && unknown > late);
 }
 
 #[test]
-fn can_value_a_small_replica_higher_than_a_large_one() {
+fn evicting_a_small_replica_costs_more_per_gib_than_a_large_one() {
     let idle = Duration::from_secs(60);
-    let small = idle_value(&gaps(300), &COSTS, idle, Size::gib(4));
-    assert!(small > idle_value(&gaps(300), &COSTS, idle, Size::gib(40)));
+    let small = eviction_cost(&gaps(300), &COSTS, idle, Size::gib(4));
+    assert!(small > eviction_cost(&gaps(300), &COSTS, idle, Size::gib(40)));
 }
--- a/components/policy/src/gaps/tests.rs
+++ b/components/policy/src/gaps/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn can_tell_which_part_of_the_gaps_is_short() {
+fn quantiles_separate_short_and_long_gaps() {
     let gaps = gaps(&[2, 2, 2, 2, 2, 2, 2, 2, 2, 4000]);
     assert_eq!(gaps.quantile(0.9), Some(secs(2)));
     assert!(gaps.quantile(0.95).is_some_and(|gap| gap >= secs(4000)));
@@ -21,15 +21,15 @@
 }
 
 #[test]
-fn can_tell_how_likely_a_gap_ends_soon() {
+fn the_fraction_ending_soon_depends_on_the_idle_time() {
     let gaps = gaps(&[2, 2, 60, 60, 4000, 4000]);
-    assert!(gaps.ending(secs(10), secs(100)) > 0.4);
-    assert!(gaps.ending(secs(200), secs(300)) < 0.01);
-    assert!(gaps.ending(secs(80_000), secs(90_000)) < 0.01);
+    assert!(gaps.fraction_ending(secs(10), secs(100)) > 0.4);
+    assert!(gaps.fraction_ending(secs(200), secs(300)) < 0.01);
+    assert!(gaps.fraction_ending(secs(80_000), secs(90_000)) < 0.01);
 }
 
 #[test]
-fn can_forget_old_gaps() {
+fn old_gaps_lose_weight() {
     let mut gaps = gaps(&[2; 200]);
     (0..1000).for_each(|_| gaps.add(secs(4000)));
     assert!(gaps.count() < 256);
--- a/components/policy/src/keepwarm/tests.rs
+++ b/components/policy/src/keepwarm/tests.rs
@@ -5,9 +5,10 @@
 use super::{Costs, KeepWarm};
 use crate::Gaps;
 
-const MOST: Duration = Duration::from_secs(3600);
-/// Half a minute of cold start at weight 4 costs as much as two idle minutes.
-const COSTS: Costs = Costs { cold: Duration::from_secs(30), cold_weight: 4.0, idle_weight: 1.0 };
+const MAX_KEEP_TIME: Duration = Duration::from_secs(3600);
+/// A cold start of half a minute at weight 4 costs as much as two idle minutes.
+const COSTS: Costs =
+    Costs { cold_start: Duration::from_secs(30), cold_start_weight: 4.0, idle_weight: 1.0 };
 
 fn gaps(all: &[(u64, usize)]) -> Gaps {
     let mut gaps = Gaps::default();
@@ -19,30 +20,36 @@
 
 #[rstest]
 #[case::fixed(KeepWarm::Fixed(Duration::from_secs(300)), 300)]
-#[case::even(KeepWarm::Even, 120)]
+#[case::even(KeepWarm::BreakEven, 120)]
 #[case::histogram_with_no_history(KeepWarm::Histogram, 120)]
 #[case::cheapest_with_no_history(KeepWarm::Cheapest, 120)]
-fn can_choose_without_history(#[case] policy: KeepWarm, #[case] seconds: u64) {
-    assert_eq!(policy.stay(&Gaps::default(), &COSTS, MOST), Duration::from_secs(seconds));
+fn without_history_the_keep_time_is_fixed_or_break_even(
+    #[case] policy: KeepWarm,
+    #[case] seconds: u64,
+) {
+    assert_eq!(
+        policy.keep_time(&Gaps::default(), &COSTS, MAX_KEEP_TIME),
+        Duration::from_secs(seconds)
+    );
 }
 
 #[test]
-fn can_stay_for_gaps_that_are_worth_it_and_leave_at_once_for_others() {
+fn the_cheapest_policy_keeps_replicas_only_through_gaps_that_are_worth_it() {
     let bursty = gaps(&[(2, 90), (7000, 10)]);
-    let stay = KeepWarm::Cheapest.stay(&bursty, &COSTS, MOST);
-    assert!((2..=3).contains(&stay.as_secs()), "{stay:?}");
+    let keep = KeepWarm::Cheapest.keep_time(&bursty, &COSTS, MAX_KEEP_TIME);
+    assert!((2..=3).contains(&keep.as_secs()), "{keep:?}");
     let steady = gaps(&[(100, 50)]);
-    let stay = KeepWarm::Cheapest.stay(&steady, &COSTS, MOST);
-    assert!((100..=130).contains(&stay.as_secs()), "{stay:?}");
+    let keep = KeepWarm::Cheapest.keep_time(&steady, &COSTS, MAX_KEEP_TIME);
+    assert!((100..=130).contains(&keep.as_secs()), "{keep:?}");
     let rare = gaps(&[(7000, 50)]);
-    assert_eq!(KeepWarm::Cheapest.stay(&rare, &COSTS, MOST), Duration::ZERO);
+    assert_eq!(KeepWarm::Cheapest.keep_time(&rare, &COSTS, MAX_KEEP_TIME), Duration::ZERO);
 }
 
 #[test]
-fn can_keep_within_the_operators_limit() {
+fn the_keep_time_is_within_the_operators_limit() {
     let rare = gaps(&[(7000, 50)]);
     let limit = Duration::from_secs(60);
-    assert_eq!(KeepWarm::Histogram.stay(&rare, &COSTS, limit), limit);
+    assert_eq!(KeepWarm::Histogram.keep_time(&rare, &COSTS, limit), limit);
     let free = Costs { idle_weight: 0.0, ..COSTS };
-    assert_eq!(KeepWarm::Even.stay(&rare, &free, limit), limit);
+    assert_eq!(KeepWarm::BreakEven.keep_time(&rare, &free, limit), limit);
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions: placement, sizing, waking, keeping warm, series.
+//! Policies for placement, sizing, prewarming, keeping replicas loaded, eviction and the order of request series.
 //!
-//! Everything here is a pure function of what it is given, so that processes with the same folded state
-//! come to the same answer and experiments can replay traces through the very same code.
+//! Apart from [`Calendar`], everything here is a pure function of its arguments. Processes with the same folded state
+//! compute the same result, and experiments can replay traces through the same code.
 
 mod calendar;
 mod closing;
@@ -15,12 +15,14 @@
 mod sizing;
 
 pub use calendar::Calendar;
-pub use closing::{Closing, GRANT_LEAD};
-pub use evict::idle_value;
+pub use closing::{ClosingDemand, GRANT_LEAD};
+pub use evict::eviction_cost;
 pub use gaps::Gaps;
 pub use keepwarm::{Costs, KeepWarm};
-pub use placement::{Held, Host, Weights, Wish, place, saving};
-pub use prewarm::{Need, needs, prewarm};
-pub use schedule::{Load, Slot, Store, schedule};
+pub use placement::{
+    CandidateEndpoint, HeldGrant, PlacementWeights, ReplicaSpec, choose_endpoint, relocation_saving,
+};
+pub use prewarm::{NeededReplica, needed_replicas, prewarm_schedule};
+pub use schedule::{LoadSlot, StoreCapacity, WindowLoad, schedule};
 pub use series::{Series, SeriesOrder};
-pub use sizing::{Bounds, Forecast, IDLE_RATE, Wanted, wanted};
+pub use sizing::{Forecast, IDLE_RATE, ReplicaBounds, ReplicaTarget, target_replicas};
--- a/components/policy/src/placement/tests.rs
+++ b/components/policy/src/placement/tests.rs
@@ -1,16 +1,18 @@
-use super::{Held, Host, Weights, Wish, place, saving};
+use super::{
+    CandidateEndpoint, HeldGrant, PlacementWeights, ReplicaSpec, choose_endpoint, relocation_saving,
+};
 use jiff::Timestamp;
 use units::{Domain, ModelName, ReplicaIndex, ServiceName, Size};
 
-fn host(name: &str, domain: &str) -> Host {
-    Host {
+fn candidate(name: &str, domain: &str) -> CandidateEndpoint {
+    CandidateEndpoint {
         endpoint: name.parse().expect("an endpoint id"),
         domain: domain.parse().expect("a domain"),
         service: service(),
         memory: Size::gib(80),
         cached: Vec::new(),
-        held: Vec::new(),
-        open: true,
+        grants: Vec::new(),
+        accepts_grants: true,
     }
 }
 
@@ -22,90 +24,100 @@
     name.parse().expect("a model")
 }
 
-fn held(name: &str, gib: u64, opens: Option<Timestamp>) -> Held {
-    Held { model: model(name), need: Size::gib(gib), opens }
+fn held(name: &str, gib: u64, next_opening: Option<Timestamp>) -> HeldGrant {
+    HeldGrant { model: model(name), memory: Size::gib(gib), next_opening }
 }
 
 fn at(seconds: i64) -> Option<Timestamp> {
     Timestamp::from_second(seconds).ok()
 }
 
-fn with_wish<R>(
-    domains: &[Domain],
-    opens: Option<Timestamp>,
-    look: impl FnOnce(&Wish<'_>) -> R,
+fn with_replica<R>(
+    other_domains: &[Domain],
+    next_opening: Option<Timestamp>,
+    check: impl FnOnce(&ReplicaSpec<'_>) -> R,
 ) -> R {
     let (name, service) = (model("page-text"), service());
-    look(&Wish {
+    check(&ReplicaSpec {
         model: &name,
         index: ReplicaIndex(0),
         artifact: &name,
         service: &service,
-        need: Size::gib(10),
-        opens,
-        domains,
+        memory: Size::gib(10),
+        next_opening,
+        other_domains,
     })
 }
 
-fn best(hosts: &[Host], domains: &[Domain], opens: Option<Timestamp>) -> Option<String> {
-    with_wish(domains, opens, |wish| {
-        place(hosts, wish, &Weights::default()).map(|i| hosts[i].endpoint.to_string())
+fn best(
+    candidates: &[CandidateEndpoint],
+    other_domains: &[Domain],
+    next_opening: Option<Timestamp>,
+) -> Option<String> {
+    with_replica(other_domains, next_opening, |replica| {
+        choose_endpoint(candidates, replica, &PlacementWeights::default())
+            .map(|i| candidates[i].endpoint.to_string())
     })
 }
 
 #[test]
-fn can_prefer_a_cached_checkpoint() {
-    let mut hosts = vec![host("e1", "saddar"), host("e2", "lyari"), host("e3", "clifton")];
-    hosts[2].cached.push(model("page-text"));
-    hosts[2].held.push(held("other", 20, None));
-    assert_eq!(best(&hosts, &[], None).as_deref(), Some("e3"));
+fn an_endpoint_with_a_cached_checkpoint_is_preferred() {
+    let mut candidates =
+        vec![candidate("e1", "saddar"), candidate("e2", "lyari"), candidate("e3", "clifton")];
+    candidates[2].cached.push(model("page-text"));
+    candidates[2].grants.push(held("other", 20, None));
+    assert_eq!(best(&candidates, &[], None).as_deref(), Some("e3"));
 }
 
 #[test]
-fn can_spread_replicas_over_failure_domains() {
-    let mut hosts = vec![host("e1", "saddar"), host("e2", "lyari")];
-    hosts[0].cached.push(model("page-text"));
-    hosts[1].held.extend([held("a", 70, None), held("b", 70, None)]);
+fn replicas_are_spread_over_failure_domains() {
+    let mut candidates = vec![candidate("e1", "saddar"), candidate("e2", "lyari")];
+    candidates[0].cached.push(model("page-text"));
+    candidates[1].grants.extend([held("a", 70, None), held("b", 70, None)]);
     let taken = ["saddar".parse().expect("a domain")];
-    assert_eq!(best(&hosts, &taken, None).as_deref(), Some("e2"));
+    assert_eq!(best(&candidates, &taken, None).as_deref(), Some("e2"));
 }
 
 #[test]
-fn can_keep_models_of_one_window_apart_if_they_do_not_fit_together() {
-    let mut hosts = vec![host("e1", "saddar"), host("e2", "saddar")];
-    hosts[0].held.push(held("bills", 75, at(1000)));
-    hosts[1].held.extend([held("term", 50, at(2000)), held("kiosk", 40, None)]);
-    assert_eq!(best(&hosts, &[], at(1000)).as_deref(), Some("e2"));
-    assert_eq!(best(&hosts, &[], None).as_deref(), Some("e1"));
+fn models_of_one_window_that_do_not_fit_together_are_kept_apart() {
+    let mut candidates = vec![candidate("e1", "saddar"), candidate("e2", "saddar")];
+    candidates[0].grants.push(held("bills", 75, at(1000)));
+    candidates[1].grants.extend([held("term", 50, at(2000)), held("kiosk", 40, None)]);
+    assert_eq!(best(&candidates, &[], at(1000)).as_deref(), Some("e2"));
+    assert_eq!(best(&candidates, &[], None).as_deref(), Some("e1"));
 }
 
 #[test]
-fn errors_on_no_endpoint_that_fits() {
-    let mut hosts = vec![host("e1", "saddar"), host("e2", "saddar"), host("e3", "lyari")];
-    hosts[0].open = false;
-    hosts[1].memory = Size::gib(9);
-    hosts[2].held.push(held("page-text", 10, None));
-    assert_eq!(best(&hosts, &[], None), None);
+fn no_endpoint_is_chosen_if_none_can_hold_the_replica() {
+    let mut candidates =
+        vec![candidate("e1", "saddar"), candidate("e2", "saddar"), candidate("e3", "lyari")];
+    candidates[0].accepts_grants = false;
+    candidates[1].memory = Size::gib(9);
+    candidates[2].grants.push(held("page-text", 10, None));
+    assert_eq!(best(&candidates, &[], None), None);
 }
 
 #[test]
-fn can_break_ties_the_same_in_any_order_of_hosts() {
-    let mut hosts: Vec<Host> = (0..20).map(|i| host(&format!("e{i}"), "saddar")).collect();
-    let first = best(&hosts, &[], None);
-    hosts.reverse();
-    assert_eq!(best(&hosts, &[], None), first);
+fn ties_are_broken_in_the_same_way_in_any_order_of_candidates() {
+    let mut candidates: Vec<CandidateEndpoint> =
+        (0..20).map(|i| candidate(&format!("e{i}"), "saddar")).collect();
+    let first = best(&candidates, &[], None);
+    candidates.reverse();
+    assert_eq!(best(&candidates, &[], None), first);
 }
 
 #[test]
-fn can_tell_what_a_move_would_save() {
-    let mut hosts = vec![host("e1", "saddar"), host("e2", "lyari")];
-    hosts[0].held.extend([held("page-text", 10, None), held("a", 60, None)]);
-    let save = |hosts: &[Host], domains: &[Domain]| {
-        with_wish(domains, None, |wish| saving(hosts, 0, wish, &Weights::default()))
+fn relocation_saving_is_the_difference_of_the_placement_costs() {
+    let mut candidates = vec![candidate("e1", "saddar"), candidate("e2", "lyari")];
+    candidates[0].grants.extend([held("page-text", 10, None), held("a", 60, None)]);
+    let save = |candidates: &[CandidateEndpoint], other_domains: &[Domain]| {
+        with_replica(other_domains, None, |replica| {
+            relocation_saving(candidates, 0, replica, &PlacementWeights::default())
+        })
     };
-    assert_eq!(save(&hosts, &[]), Some(0.75));
-    let spread = save(&hosts, &["lyari".parse().expect("a domain")]);
+    assert_eq!(save(&candidates, &[]), Some(0.75));
+    let spread = save(&candidates, &["lyari".parse().expect("a domain")]);
     assert_eq!(spread, Some(0.75 - 8.0), "the other failure domain has a replica already");
-    hosts[1].open = false;
-    assert_eq!(save(&hosts, &[]), None);
+    candidates[1].accepts_grants = false;
+    assert_eq!(save(&candidates, &[]), None);
 }
--- a/components/policy/src/prewarm/tests.rs
+++ b/components/policy/src/prewarm/tests.rs
@@ -7,8 +7,8 @@
 use tree::{Change, Edit, NodeKind};
 use units::{Epoch, NodePath, Offset, Revision};
 
-use super::{needs, prewarm};
-use crate::Store;
+use super::{needed_replicas, prewarm_schedule};
+use crate::StoreCapacity;
 
 fn apply(state: &mut State, body: Body) {
     let offset = state.offset().next();
@@ -31,7 +31,7 @@
     sample::grant(model, index, model, &format!("engine-{number}"))
 }
 
-/// Two models whose window opens on the last of the month at 08:00, needing one replica.
+/// Two models whose window opens on the last day of the month at 08:00 and needs one replica.
 fn state() -> State {
     let window =
         json!([{ "opens": "monthly last 08:00", "lasts": "8h", "zone": "UTC", "replicas": 1 }]);
@@ -67,20 +67,20 @@
 }
 
 #[test]
-fn can_load_what_the_next_window_needs() {
+fn replicas_that_the_next_window_needs_are_scheduled() {
     let now: Timestamp = "2026-12-31T07:30:00Z".parse().expect("a time");
     let opens: Timestamp = "2026-12-31T08:00:00Z".parse().expect("a time");
-    let slots = prewarm(&state(), now, &Store::default());
+    let slots = prewarm_schedule(&state(), now, &StoreCapacity::default());
     let names: Vec<_> = slots.iter().map(|slot| (slot.model.as_str(), slot.index.0)).collect();
-    assert_eq!(names, [("bills", 0), ("terms", 0)], "the cached one starts later");
+    assert_eq!(names, [("bills", 0), ("terms", 0)], "the cached model starts later");
     assert_eq!(opens.duration_since(slots[0].starts).as_secs(), 25, "8 GiB with slack, and 5 s");
     assert_eq!(opens.duration_since(slots[1].starts).as_secs(), 5);
 }
 
 #[test]
-fn can_load_nothing_long_before_a_window() {
+fn nothing_is_scheduled_long_before_a_window() {
     let now: Timestamp = "2026-12-31T06:59:59Z".parse().expect("a time");
-    assert_eq!(prewarm(&state(), now, &Store::default()), vec![]);
+    assert_eq!(prewarm_schedule(&state(), now, &StoreCapacity::default()), vec![]);
 }
 
 #[rstest]
@@ -89,10 +89,13 @@
 #[case::at_the_opening("2026-12-31T08:00:00Z", &["bills"])]
 #[case::before_it_closes("2026-12-31T15:59:59Z", &["bills"])]
 #[case::after_it_closed("2026-12-31T16:00:00Z", &[])]
-fn can_tell_what_an_endpoint_must_have_loaded(#[case] now: &str, #[case] models: &[&str]) {
+fn an_endpoint_needs_replicas_from_their_latest_start_until_the_window_closes(
+    #[case] now: &str,
+    #[case] models: &[&str],
+) {
     let endpoint = "engine-1".parse().expect("an endpoint");
     let now = now.parse().expect("a time");
-    let found = needs(&state(), &endpoint, now, &Store::default());
+    let found = needed_replicas(&state(), &endpoint, now, &StoreCapacity::default());
     let names: Vec<_> = found.iter().map(|need| need.model.as_str()).collect();
     assert_eq!(names, models);
     let opens: Timestamp = "2026-12-31T08:00:00Z".parse().expect("a time");
@@ -100,14 +103,14 @@
 }
 
 #[test]
-fn can_name_a_replica_once_that_two_windows_need() {
+fn a_replica_that_two_windows_need_is_included_once() {
     let window = json!([
         { "opens": "monthly last 03:00", "lasts": "8h", "zone": "UTC", "replicas": 1 },
         { "opens": "monthly last 08:00", "lasts": "8h", "zone": "UTC", "replicas": 1 },
     ]);
     let endpoint = "engine-1".parse().expect("an endpoint");
     let now = "2026-12-31T07:59:59Z".parse().expect("a time");
-    let found = needs(&state_with(&window), &endpoint, now, &Store::default());
+    let found = needed_replicas(&state_with(&window), &endpoint, now, &StoreCapacity::default());
     let opens: Vec<String> = found.iter().map(|need| need.opens.to_string()).collect();
     assert_eq!(opens, ["2026-12-31T08:00:00Z"]);
 }
--- a/components/policy/src/schedule.rs
+++ b/components/policy/src/schedule.rs
@@ -1,7 +1,7 @@
-//! When the loads before a closing window start: as late as the weight store allows.
+//! Computes when the loads before a closing window start: as late as the weight store allows.
 //!
-//! All agents compute the same schedule from the same folded state, so the loads of a whole site are spread
-//! over the store's lanes and rate without a message.
+//! All agents compute the same schedule from the same folded state. The loads of a whole site are thus spread over what the
+//! store can do without any message between the agents.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -11,134 +11,139 @@
 use units::{EndpointId, ModelName, Rate, ReplicaIndex, Size};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The lowest rate that is planned with.
-const RATE_LEAST: f64 = 0.01;
+/// The lowest start rate that is planned with, in loads per second.
+const MIN_START_RATE: f64 = 0.01;
 
-/// What the weight store can do.
+/// The capacity of the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Store {
-    /// Loads that it starts a second.
-    pub rate: Rate,
-    /// Loads that it serves at the same time at full speed.
-    pub lanes: u32,
-    /// Bytes a second of one lane.
-    pub speed: Size,
-    /// The part of a load that does not wait for the store, such as the engine's own start.
-    pub fixed: Duration,
-    /// How many times longer than computed a load is planned for, so that urgent loads find room and a store
-    /// at half its speed is still fast enough; see `docs/POLICY.md`.
+pub struct StoreCapacity {
+    /// Loads that the store starts per second.
+    pub start_rate: Rate,
+    /// Loads that the store serves at full speed at the same time.
+    pub concurrent_loads: u32,
+    /// Bytes per second of one load at full speed.
+    pub load_rate: Size,
+    /// The part of a load that does not depend on the store, such as the start of the engine.
+    pub fixed_time: Duration,
+    /// The factor by which the planned transfer time exceeds the computed one, so that urgent loads find capacity and a store at
+    /// half its speed is still fast enough; see `docs/POLICY.md`.
     pub slack: f64,
 }
 
-impl Default for Store {
+impl Default for StoreCapacity {
     fn default() -> Self {
         Self {
-            rate: Rate(7.0),
-            lanes: 4,
-            speed: Size::gib(1),
-            fixed: Duration::from_secs(5),
+            start_rate: Rate(7.0),
+            concurrent_loads: 4,
+            load_rate: Size::gib(1),
+            fixed_time: Duration::from_secs(5),
             slack: 2.5,
         }
     }
 }
 
-/// A load that must be done before a window opens.
+/// A load that must be complete before a window opens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Load {
+pub struct WindowLoad {
     /// The model.
     pub model: ModelName,
-    /// Which replica.
+    /// The index of the replica.
     pub index: ReplicaIndex,
-    /// Where.
+    /// The endpoint that loads the replica.
     pub endpoint: EndpointId,
-    /// The size of the weights; nothing if the endpoint has them cached.
+    /// The size of the weights; zero if the endpoint has them cached.
     pub weights: Size,
     /// When the window opens.
     pub opens: Timestamp,
 }
 
-/// When a load starts and is done at the latest.
+/// A scheduled load: its latest start and its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Slot {
+pub struct LoadSlot {
     /// The model.
     pub model: ModelName,
-    /// Which replica.
+    /// The index of the replica.
     pub index: ReplicaIndex,
-    /// Where.
+    /// The endpoint that loads the replica.
     pub endpoint: EndpointId,
-    /// When it starts.
+    /// When the load starts.
     pub starts: Timestamp,
-    /// When it is done.
+    /// When the load is complete at the latest.
     pub done: Timestamp,
     /// When the window opens.
     pub opens: Timestamp,
 }
 
+/// The planned time to transfer the weights from the store.
 #[expect(clippy::cast_precision_loss, reason = "a plan needs no exact bytes")]
-fn fetch(load: &Load, store: &Store) -> SignedDuration {
-    let seconds = load.weights.0 as f64 / store.speed.0.max(1) as f64 * store.slack;
+fn transfer_time(load: &WindowLoad, store: &StoreCapacity) -> SignedDuration {
+    let seconds = load.weights.0 as f64 / store.load_rate.0.max(1) as f64 * store.slack;
     SignedDuration::try_from_secs_f64(seconds).unwrap_or(SignedDuration::MAX)
 }
 
-fn before(at: Timestamp, span: SignedDuration) -> Timestamp {
+fn subtract(at: Timestamp, span: SignedDuration) -> Timestamp {
     at.checked_sub(span).unwrap_or(Timestamp::MIN)
 }
 
-/// Orders loads of the same opening the same everywhere, and each opening differently.
-fn rank(load: &Load) -> u64 {
+/// Orders the loads of one opening in the same way on all agents, and in a different way for each opening.
+fn order_hash(load: &WindowLoad) -> u64 {
     xxh3_64(format!("{}#{} {}", load.model, load.index, load.opens).as_bytes())
 }
 
-/// What is planned so far, from the last opening backwards.
+/// The schedule so far. It is built backwards from the last opening.
 struct Plan<'a> {
-    store: &'a Store,
-    /// When each lane is needed next.
-    lanes: Vec<Timestamp>,
-    /// When each endpoint is needed next.
+    store: &'a StoreCapacity,
+    /// For each of the store's concurrent loads, the start of the transfer that was scheduled last. An earlier transfer must
+    /// end by then.
+    permits: Vec<Timestamp>,
+    /// For each endpoint, the start of the load that was scheduled last.
     endpoints: HashMap<EndpointId, Timestamp>,
-    /// The starts that are taken, in turns of the store's rate.
-    turns: HashSet<i128>,
+    /// The turns in which a load starts already. A turn is the reciprocal of the store's start rate.
+    start_turns: HashSet<i128>,
 }
 
 impl Plan<'_> {
-    fn add(&mut self, load: Load) -> Slot {
-        let own = self.endpoints.get(&load.endpoint).copied().unwrap_or(Timestamp::MAX);
-        let done = load.opens.min(own);
-        let fixed = SignedDuration::try_from(self.store.fixed).unwrap_or(SignedDuration::MAX);
-        let mut starts = before(done, fixed);
+    fn add(&mut self, load: WindowLoad) -> LoadSlot {
+        let next_use = self.endpoints.get(&load.endpoint).copied().unwrap_or(Timestamp::MAX);
+        let done = load.opens.min(next_use);
+        let fixed = SignedDuration::try_from(self.store.fixed_time).unwrap_or(SignedDuration::MAX);
+        let mut starts = subtract(done, fixed);
         if load.weights > Size(0) {
-            starts = self.fetch_before(starts, fetch(&load, self.store));
+            starts = self.reserve_transfer(starts, transfer_time(&load, self.store));
         }
         self.endpoints.insert(load.endpoint.clone(), starts);
-        let Load { model, index, endpoint, opens, .. } = load;
-        Slot { model, index, endpoint, starts, done, opens }
+        let WindowLoad { model, index, endpoint, opens, .. } = load;
+        LoadSlot { model, index, endpoint, starts, done, opens }
     }
 
-    /// Takes the lane that is free the longest, and the last free turn to start.
-    fn fetch_before(&mut self, fetched: Timestamp, lasts: SignedDuration) -> Timestamp {
-        let Some(lane) = self.lanes.iter_mut().max() else { return before(fetched, lasts) };
-        let starts = before(fetched.min(*lane), lasts);
-        let pause = nanos(1.0 / self.store.rate.0.max(RATE_LEAST));
-        let mut turn = starts.as_nanosecond().div_euclid(pause);
-        while !self.turns.insert(turn) {
+    /// Reserves a transfer that ends by `transfer_end`, on the permit that leaves the latest end and in the last free turn.
+    /// Returns its start.
+    fn reserve_transfer(&mut self, transfer_end: Timestamp, duration: SignedDuration) -> Timestamp {
+        let Some(permit) = self.permits.iter_mut().max() else {
+            return subtract(transfer_end, duration);
+        };
+        let starts = subtract(transfer_end.min(*permit), duration);
+        let interval = nanos(1.0 / self.store.start_rate.0.max(MIN_START_RATE));
+        let mut turn = starts.as_nanosecond().div_euclid(interval);
+        while !self.start_turns.insert(turn) {
             turn -= 1;
         }
-        *lane = Timestamp::from_nanosecond(turn * pause).unwrap_or(Timestamp::MIN);
-        *lane
+        *permit = Timestamp::from_nanosecond(turn * interval).unwrap_or(Timestamp::MIN);
+        *permit
     }
 }
 
-#[expect(clippy::cast_possible_truncation, reason = "a pause between loads is short")]
+#[expect(clippy::cast_possible_truncation, reason = "the interval between loads is short")]
 fn nanos(seconds: f64) -> i128 {
     (seconds * 1e9) as i128
 }
 
-/// The latest start of each load, with the earliest start first. Loads of one endpoint do not overlap.
-pub fn schedule(mut loads: Vec<Load>, store: &Store) -> Vec<Slot> {
-    loads.sort_by_cached_key(|load| (Reverse(load.opens), rank(load)));
-    let lanes = vec![Timestamp::MAX; store.lanes.max(1) as usize];
-    let mut plan = Plan { store, lanes, endpoints: HashMap::new(), turns: HashSet::new() };
-    let mut slots: Vec<Slot> = loads.into_iter().map(|load| plan.add(load)).collect();
+/// Computes the latest start of each load, sorted by start. Loads of one endpoint do not overlap.
+pub fn schedule(mut loads: Vec<WindowLoad>, store: &StoreCapacity) -> Vec<LoadSlot> {
+    loads.sort_by_cached_key(|load| (Reverse(load.opens), order_hash(load)));
+    let permits = vec![Timestamp::MAX; store.concurrent_loads.max(1) as usize];
+    let mut plan = Plan { store, permits, endpoints: HashMap::new(), start_turns: HashSet::new() };
+    let mut slots: Vec<LoadSlot> = loads.into_iter().map(|load| plan.add(load)).collect();
     slots.sort_by_key(|slot| slot.starts);
     slots
 }
--- a/components/policy/src/series/tests.rs
+++ b/components/policy/src/series/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Series, SeriesOrder};
 
-const EACH: Duration = Duration::from_secs(10);
+const REQUEST_TIME: Duration = Duration::from_secs(10);
 
 const fn series(queued: u64, deadline: u64, total: u32, started: u32) -> Series {
     Series {
@@ -14,11 +14,11 @@
 }
 
 fn next(order: SeriesOrder, all: &[Series], now: u64) -> Option<usize> {
-    order.next(all, Duration::from_secs(now), EACH)
+    order.next(all, Duration::from_secs(now), REQUEST_TIME)
 }
 
 #[test]
-fn can_order_by_arrival_deadline_or_lag() {
+fn series_are_ordered_by_arrival_deadline_or_lag() {
     let all = [series(0, 1000, 10, 8), series(10, 900, 10, 9), series(20, 1100, 50, 2)];
     assert_eq!(next(SeriesOrder::Arrival, &all, 500), Some(0));
     assert_eq!(next(SeriesOrder::Edf, &all, 500), Some(1));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn can_pass_over_series_that_are_all_started() {
+fn series_without_requests_to_start_are_skipped() {
     let all = [series(0, 1000, 10, 10), series(10, 2000, 10, 1)];
     for order in [SeriesOrder::Arrival, SeriesOrder::Edf, SeriesOrder::Lag] {
         assert_eq!(next(order, &all, 500), Some(1));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn can_ask_for_all_of_a_series_near_its_deadline() {
+fn a_series_near_its_deadline_lags_by_all_its_remaining_requests() {
     let late = series(0, 100, 10, 4);
     let other = series(0, 10_000, 500, 0);
     assert_eq!(next(SeriesOrder::Lag, &[late, other], 95), Some(0));
--- a/components/policy/src/sizing.rs
+++ b/components/policy/src/sizing.rs
@@ -1,77 +1,77 @@
-//! How many replicas of a model are granted.
+//! Computes how many replicas of a model are granted.
 
 use std::time::Duration;
 
-/// How long a request is taken to hold its place in a replica's batch.
-const HOLD: Duration = Duration::from_secs(4);
-/// The part of a replica's batch that is planned to be in use.
-const FILLED: f64 = 0.7;
+/// The time that a request is assumed to occupy a place in a replica's batch.
+const REQUEST_DURATION: Duration = Duration::from_secs(4);
+/// The fraction of a replica's batch that is planned to be in use.
+const TARGET_BATCH_USE: f64 = 0.7;
 
-/// A model with a lower rate of requests a second is idle: nobody has asked for it for some minutes.
+/// A model with a lower rate of requests per second is idle: it has had no request for some minutes.
 pub const IDLE_RATE: f64 = 1e-4;
 
-/// What is expected of a model.
+/// The expected demand for a model.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Forecast {
-    /// Requests a second.
-    pub rate: f64,
-    /// Whether requests were refused lately for lack of capacity.
+    /// Requests per second.
+    pub request_rate: f64,
+    /// Whether requests were refused recently for lack of capacity.
     pub refused: bool,
-    /// Replicas that an open or near closing window asks for.
-    pub window: u32,
-    /// The most replicas that were wanted lately: sizing follows a falling demand slowly.
-    pub lately: u32,
+    /// Replicas that an open window or one that opens soon requires.
+    pub window_replicas: u32,
+    /// The highest recent target. The target follows a falling demand slowly.
+    pub recent_peak: u32,
 }
 
-/// The operator's bounds and what one replica can do.
+/// The operator's bounds on the number of replicas, and what one replica can do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// The fewest replicas.
-    pub least: u32,
-    /// The most replicas.
-    pub most: u32,
+pub struct ReplicaBounds {
+    /// The minimum number of replicas.
+    pub min: u32,
+    /// The maximum number of replicas.
+    pub max: u32,
     /// Requests that one replica runs at the same time.
     pub batch: u32,
-    /// Replicas granted now.
-    pub now: u32,
+    /// The replicas granted now.
+    pub current: u32,
 }
 
-/// A number of replicas with its reason.
+/// A target number of replicas with its reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
-    /// How many.
+pub struct ReplicaTarget {
+    /// The number of replicas.
     pub replicas: u32,
-    /// Why, in a few words.
+    /// The reason in a few words.
     pub reason: &'static str,
 }
 
-/// How many replicas a rate keeps busy.
+/// The number of replicas that a request rate keeps busy.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a small count")]
-fn busy(rate: f64, batch: u32) -> u32 {
+fn busy_replicas(rate: f64, batch: u32) -> u32 {
     if rate < IDLE_RATE {
         return 0;
     }
-    let running = rate * HOLD.as_secs_f64();
-    (running / (f64::from(batch.max(1)) * FILLED)).ceil() as u32
+    let running = rate * REQUEST_DURATION.as_secs_f64();
+    (running / (f64::from(batch.max(1)) * TARGET_BATCH_USE)).ceil() as u32
 }
 
-/// How many replicas a model is to have, and what asks for the most of them.
-pub fn wanted(bounds: &Bounds, forecast: &Forecast) -> Wanted {
-    let more = if forecast.refused { bounds.now.saturating_add(1) } else { 0 };
-    let asked = [
-        (bounds.least, "replicas-least"),
-        (forecast.window, "closing window"),
-        (busy(forecast.rate, bounds.batch), "demand"),
-        (more, "requests were refused"),
-        (forecast.lately, "demand was higher lately"),
+/// Computes the target number of replicas of a model. The reason is the demand that requires the most of them.
+pub fn target_replicas(bounds: &ReplicaBounds, forecast: &Forecast) -> ReplicaTarget {
+    let step_up = if forecast.refused { bounds.current.saturating_add(1) } else { 0 };
+    let demands = [
+        (bounds.min, "replicas-least"),
+        (forecast.window_replicas, "closing window"),
+        (busy_replicas(forecast.request_rate, bounds.batch), "demand"),
+        (step_up, "requests were refused"),
+        (forecast.recent_peak, "demand was higher lately"),
     ];
-    let mut top = asked[0];
-    for one in asked {
-        if one.0 > top.0 {
-            top = one;
+    let mut highest = demands[0];
+    for demand in demands {
+        if demand.0 > highest.0 {
+            highest = demand;
         }
     }
-    Wanted { replicas: top.0.min(bounds.most), reason: top.1 }
+    ReplicaTarget { replicas: highest.0.min(bounds.max), reason: highest.1 }
 }
 
 #[cfg(test)]
--- a/src/cmd/windows.rs
+++ b/src/cmd/windows.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use jiff::{SignedDuration, Timestamp};
-use policy::{Load, Store, schedule};
+use policy::{StoreCapacity, WindowLoad, schedule};
 use state::State;
 use tree::{Leaf, NodeKind, Tree};
 use units::{EndpointId, ReplicaIndex, ServiceName, Size};
@@ -34,7 +34,7 @@
     models: usize,
     replicas: u32,
     /// What must be loaded for those that open then.
-    loads: Vec<Load>,
+    loads: Vec<WindowLoad>,
 }
 
 /// Shows which windows open next, in a file or in force, and whether what they need fits.
@@ -143,7 +143,7 @@
         let turn = room.and_then(|room| room.endpoints.iter().cycle().nth(self.loads.len()));
         let Some(endpoint) = turn.cloned() else { return };
         let (model, weights) = (leaf.model.clone(), leaf.settings.weights);
-        self.loads.push(Load { model, index: ReplicaIndex(index), endpoint, weights, opens });
+        self.loads.push(WindowLoad { model, index: ReplicaIndex(index), endpoint, weights, opens });
     }
 }
 
@@ -154,7 +154,7 @@
     let Some(room) = room else { return format!("{head}; no endpoint has attached") };
     let have = format!("{} endpoints have {}", room.endpoints.len(), round(room.memory));
     let fits = if memory <= room.memory { "" } else { ", which is too little" };
-    let starts = schedule(loads, &Store::default()).first().map(|slot| slot.starts);
+    let starts = schedule(loads, &StoreCapacity::default()).first().map(|slot| slot.starts);
     let starts = starts.map_or_else(String::new, |at| format!("; loads begin by {at:.0}"));
     format!("{head}, {have}{fits}{starts}")
 }
