--- a/components/planner/examples/capacity.rs
+++ b/components/planner/examples/capacity.rs
@@ -133,8 +133,11 @@
     println!("  a round with {count} decisions: {:.2} ms", millis(full));
     let (idle, count) = measure_round(&site.state());
     println!("  a round with {count} decisions: {:.2} ms", millis(idle));
-    let look = measure_window_needs(&site.state());
-    println!("  an agent's look at closing windows when all open soon: {:.2} ms", millis(look));
+    let window_time = measure_window_needs(&site.state());
+    println!(
+        "  an agent's evaluation of closing windows when all open soon: {:.2} ms",
+        millis(window_time)
+    );
     sleep_secs(10).await;
     one_edit(&site, &agents, grants).await;
     one_instance(&site, &agents, grants + REPLICAS).await;
--- a/components/policy/src/prewarm.rs
+++ b/components/policy/src/prewarm.rs
@@ -56,7 +56,7 @@
     needs
 }
 
-/// The need of the open windows for a grant's replica.
+/// The grant's replica, if an open window needs it, with the latest opening of its open windows.
 fn open_window_need(state: &State, grant: &Grant, now: Timestamp) -> Option<NeededReplica> {
     let leaf = state.tree().model(&grant.model)?;
     let windows = leaf.settings.windows.iter().filter(|window| grant.index.0 < window.replicas);
