--- a/components/entry/src/run.rs
+++ b/components/entry/src/run.rs
@@ -50,7 +50,7 @@
         demand.clone(),
         process.recorder.clone(),
         planner::Options {
-            lease: settings.lease.0,
+            lease_duration: settings.lease.0,
             stop: Some(process.shutdown.flag(ShutdownPhase::Drain)),
             ..Default::default()
         },
@@ -80,7 +80,7 @@
 ) -> Result<(), StartError> {
     tokio::select! {
         () = core.journal.ready() => {}
-        () = process.shutdown.reached(ShutdownPhase::Drain) => return Ok(()),
+        () = process.shutdown.reached(ShutdownPhase::Drain) => return Ok(())
     }
     let listener = web::bind(settings.listen).await.map_err(StartError::new)?;
     log::info!("entry: callers are served on {}", settings.listen);
